--- a/bench/limits.py
+++ b/bench/limits.py
@@ -155,7 +155,7 @@
         if not isinstance(chosen, Chosen):
             return
         name = chosen.endpoint
-        self.pool.started(name, attempt_id, self.now)
+        self.pool.record_start(name, attempt_id, self.now)
         is_bad = name == _ENDPOINTS[0] and self.now >= self.after and self.bad
         self.sent_to_bad += bool(is_bad)
         if is_bad and self.bad == "stuck":
@@ -170,10 +170,10 @@
         self.timeline.at(end, self._end, name, attempt_id, Answered(51))
 
     def _first(self, name: str, attempt_id: str) -> None:
-        self.pool.first_token(name, attempt_id, self.now)
+        self.pool.record_first_token(name, attempt_id, self.now)
 
     def _end(self, name: str, attempt_id: str, outcome) -> None:
-        ejected = self.pool.finished(name, attempt_id, outcome, self.now)
+        ejected = self.pool.record_end(name, attempt_id, outcome, self.now)
         if ejected is not None:
             self.ejections.append((self.now, ejected))
 
--- a/bench/routing_policies.py
+++ b/bench/routing_policies.py
@@ -168,7 +168,7 @@
 
     def load_reported(self, name: str, report: LoadReport) -> None:
         """Take in a load report."""
-        self.pool.load_reported(name, report, self.now)
+        self.pool.record_load(name, report, self.now)
 
     def prefix_cached(self, name: str, prefix_hash: int) -> None:
         """Take in a cache event."""
@@ -199,7 +199,7 @@
         draws = (self.site.random.random(), self.site.random.random())
         chosen = self.pool.choose(request, draws, self.now)
         assert isinstance(chosen, Chosen)
-        self.pool.started(chosen.endpoint, item.request_id, self.now, request)
+        self.pool.record_start(chosen.endpoint, item.request_id, self.now, request)
         self.site.engines[chosen.endpoint].submit(job)
         self.site.timeline.at(job.deadline, self._expire_sent, job)
 
@@ -207,15 +207,15 @@
         give_up(self.site, job)
         if job.given_up:
             name = job.engine.name
-            self.pool.finished(name, str(job.number), Cancelled(), self.now)
+            self.pool.record_end(name, str(job.number), Cancelled(), self.now)
             self._pump()
 
     def _first(self, job: Job) -> None:
-        self.pool.first_token(job.engine.name, str(job.number), self.now)
+        self.pool.record_first_token(job.engine.name, str(job.number), self.now)
 
     def _done(self, job: Job) -> None:
         outcome = Answered(job.answer)
-        self.pool.finished(job.engine.name, str(job.number), outcome, self.now)
+        self.pool.record_end(job.engine.name, str(job.number), outcome, self.now)
         self._pump()
 
     def _refuse(self, request_id: str, refused) -> None:
--- a/src/azurefold/core/routing/cells.py
+++ b/src/azurefold/core/routing/cells.py
@@ -51,20 +51,20 @@
         """Nodes of this cell, this one included."""
         return self.cells[self.number]
 
-    def deal(self, endpoints: Collection[str]) -> dict[str, int]:
+    def assign_endpoints(self, endpoints: Collection[str]) -> dict[str, int]:
         """Return the number of the cell that sends to each endpoint of a service.
 
         Examples
         --------
         >>> cell = Cell(1, (frozenset({"n1"}), frozenset({"n2"})))
-        >>> dealt = cell.deal([f"e{number:02}" for number in range(16)])
+        >>> dealt = cell.assign_endpoints([f"e{number:02}" for number in range(16)])
         >>> list(dealt.values()).count(0), list(dealt.values()).count(1)
         (8, 8)
         """
         cells = _dealt(endpoints, self.count)
         return {name: number for number, names in enumerate(cells) for name in names}
 
-    def divides(self, endpoints: Collection[str]) -> bool:
+    def should_partition(self, endpoints: Collection[str]) -> bool:
         """Whether the endpoints of a service are dealt out to the cells."""
         return self.count > 1 and len(endpoints) >= _LEAST_ENDPOINTS * self.count
 
--- a/src/azurefold/core/routing/choice.py
+++ b/src/azurefold/core/routing/choice.py
@@ -110,8 +110,8 @@
     # would draw in most of the traffic until it is ejected.
     penalty = failure_rate * policy.failure_penalty
     # A group that stands still takes requests and refuses them 1.5 s later.
-    doubt = policy.doubt_penalty if endpoint.doubted else 0
-    return queue + sharing + prefill + penalty + doubt + endpoint.distance
+    suspicion_penalty = policy.doubt_penalty if endpoint.is_suspected else 0
+    return queue + sharing + prefill + penalty + suspicion_penalty + endpoint.distance
 
 
 def draw_two(
--- a/src/azurefold/core/routing/endpoint.py
+++ b/src/azurefold/core/routing/endpoint.py
@@ -83,7 +83,7 @@
     counted_capacity: int = 0
     is_counted: bool = False
     leaving: bool = False
-    doubted: bool = False
+    is_suspected: bool = False
     most: int | None = None
     slots: int = _DEFAULT_SLOTS
     others: float = 0.0
--- a/src/azurefold/core/routing/absences.py
+++ b/src/azurefold/core/routing/exclusions.py
@@ -5,7 +5,7 @@
 from azurefold.core.clock import Millis
 from azurefold.core.routing.ejection import Ejector
 
-__all__ = ["Absences"]
+__all__ = ["Exclusions"]
 
 _OUT_OF_REACH_MS: Millis = 1_000
 """After a connection was not established in time. Each try takes a caller 400 ms, and
@@ -14,7 +14,7 @@
 
 
 @dataclass(slots=True)
-class Absences:
+class Exclusions:
     """Which endpoints of a pool are left out, and until when.
 
     Parameters
@@ -41,7 +41,7 @@
         return left_out | self.over_quota.keys() | self.backing_off.keys()
 
     @property
-    def out_of_reach(self) -> frozenset[str]:
+    def unreachable(self) -> frozenset[str]:
         """Endpoints to which no connection could be made a moment ago."""
         return frozenset(self._out_of_reach)
 
@@ -54,7 +54,7 @@
             times.append(self.ejector.next_return)
         return min(times, default=None)
 
-    def lost_reach(self, endpoint: str, now: Millis) -> None:
+    def mark_unreachable(self, endpoint: str, now: Millis) -> None:
         """Note that no connection to an endpoint could be made in time."""
         self._out_of_reach[endpoint] = now + _OUT_OF_REACH_MS
 
--- a/src/azurefold/core/routing/members.py
+++ b/src/azurefold/core/routing/members.py
@@ -3,9 +3,9 @@
 from collections.abc import Set
 
 from azurefold.core.clock import Millis
-from azurefold.core.routing.absences import Absences
 from azurefold.core.routing.concurrency import ConcurrencyLimit, ConcurrencyPolicy
 from azurefold.core.routing.endpoint import DividedSlots, Endpoint, Sharing
+from azurefold.core.routing.exclusions import Exclusions
 from azurefold.core.routing.messages import LoadReport, Unavailable
 
 __all__ = ["Members"]
@@ -113,13 +113,13 @@
             endpoint.counted_room = endpoint.counted_capacity = 0
             self.recount(endpoint)
 
-    def why_none(self, exclude: Set[str], absences: Absences) -> Unavailable:
+    def why_none(self, exclude: Set[str], absences: Exclusions) -> Unavailable:
         """Return why no endpoint outside ``exclude`` can be chosen."""
         if not self.by_name:
             return Unavailable.NO_ENDPOINTS
         if self.by_name.keys() <= absences.paused:
             return Unavailable.GROUPS_DOWN
-        if self.by_name.keys() <= absences.paused | absences.out_of_reach:
+        if self.by_name.keys() <= absences.paused | absences.unreachable:
             return Unavailable.OUT_OF_REACH
         if all(endpoint.leaving for endpoint in self.by_name.values()):
             return Unavailable.ALL_LEAVING
--- a/src/azurefold/core/routing/pass_limit.py
+++ b/src/azurefold/core/routing/pass_limit.py
@@ -91,7 +91,7 @@
         self._pass_ms += weight * (gap - self._pass_ms)
         self._requests += weight * (requests - self._requests)
 
-    def told(self, of_group: float, now: Millis) -> None:
+    def record_group_mean(self, of_group: float, now: Millis) -> None:
         """Take in the mean requests of all the group's ranks, a second old."""
         if self._usual_requests <= 0 or of_group <= 0:
             return
@@ -108,7 +108,7 @@
             return 1.0
         return self._group_share
 
-    def requests_of_a_rank(
+    def max_requests_per_rank(
         self, promised_gap: Millis, slots: int, now: Millis = 0
     ) -> float:
         """Return how many requests each rank should have at most, on average.
@@ -124,10 +124,10 @@
         Examples
         --------
         >>> limit = PassLimit(fixed_ms=18.0)
-        >>> limit.requests_of_a_rank(120, slots=6)
+        >>> limit.max_requests_per_rank(120, slots=6)
         6.0
         >>> limit.observe(150, requests=6.0, now=1_000)
-        >>> limit.requests_of_a_rank(120, slots=6)
+        >>> limit.max_requests_per_rank(120, slots=6)
         3.0
         """
         variable = self._pass_ms - self.fixed_ms
--- a/src/azurefold/core/routing/peer_loads.py
+++ b/src/azurefold/core/routing/peer_loads.py
@@ -6,14 +6,14 @@
 
 from azurefold.core.clock import Millis
 
-__all__ = ["LoadDigest", "PeerLoads", "endpoint_mark"]
+__all__ = ["LoadDigest", "PeerLoads", "endpoint_hash"]
 
 _SILENT_AFTER_MS: Millis = 1_500
 """A node tells at least twice a second; three lost messages in a row are rare,
 and the requests of a node that is gone end within seconds."""
 
 
-def endpoint_mark(endpoint: str) -> int:
+def endpoint_hash(endpoint: str) -> int:
     """Return a number that stands for an endpoint's name, to save bytes."""
     return crc32(endpoint.encode())
 
@@ -30,7 +30,7 @@
     sequence : int
         Rises with each digest of one incarnation.
     loads : mapping of int to int
-        By :func:`endpoint_mark`; endpoints without requests are left out.
+        By :func:`endpoint_hash`; endpoints without requests are left out.
     has_callers : bool
         Whether it has had requests lately, also such as it refused.
     is_waiting : bool
@@ -63,11 +63,11 @@
         """Other nodes that are heard."""
         return frozenset(self._heard)
 
-    def of(self, endpoint: str) -> int:
+    def requests_at(self, endpoint: str) -> int:
         """Return the requests of all other nodes at an endpoint."""
-        return self._sums.get(endpoint_mark(endpoint), 0)
+        return self._sums.get(endpoint_hash(endpoint), 0)
 
-    def hear(self, digest: LoadDigest, now: Millis) -> bool:
+    def receive(self, digest: LoadDigest, now: Millis) -> bool:
         """Take in a digest; return whether it is newer than the last."""
         known = self._heard.get(digest.node)
         if known is not None and _is_older(digest, known.digest):
@@ -86,16 +86,16 @@
         )
 
     @property
-    def nodes_waiting(self) -> int:
+    def waiting_node_count(self) -> int:
         """How many other nodes have requests that wait."""
         return sum(heard.digest.is_waiting for heard in self._heard.values())
 
-    def give(self, node: str, other: "PeerLoads") -> None:
+    def move_to(self, node: str, other: "PeerLoads") -> None:
         """Let ``other`` have what a node has told, if it has told anything."""
         heard = self._heard.pop(node, None)
         if heard is not None:
             self._add(heard.digest.loads, -1)
-            other.hear(heard.digest, heard.at)
+            other.receive(heard.digest, heard.at)
 
     def expire(self, now: Millis) -> list[str]:
         """Drop nodes that have fallen silent, and name them."""
--- a/src/azurefold/core/routing/pool.py
+++ b/src/azurefold/core/routing/pool.py
@@ -7,13 +7,13 @@
     draw_two,
     expected_wait,
 )
+from azurefold.core.routing.ejection_causes import cause_to_eject, median_pace
 from azurefold.core.routing.endpoint import (
     Attempt,
     DividedSlots,
     Endpoint,
     ExchangedLoads,
 )
-from azurefold.core.routing.judging import cause_to_eject, median_pace
 from azurefold.core.routing.messages import (
     Answered,
     Cancelled,
@@ -30,7 +30,7 @@
     Unavailable,
 )
 from azurefold.core.routing.policy import PoolPolicy
-from azurefold.core.routing.pool_knowledge import PoolKnowledge
+from azurefold.core.routing.pool_state import PoolState
 
 __all__ = ["Pool", "PoolPolicy"]
 
@@ -41,7 +41,7 @@
 _NO_REQUEST = RouteRequest()
 
 
-class Pool(PoolKnowledge):
+class Pool(PoolState):
     """State and decisions of routing for one service on one node.
 
     Parameters
@@ -92,7 +92,7 @@
             retry_after += max(0, self._absences.next_return - now)
         return NoneAvailable(reason, retry_after)
 
-    def offers(self, endpoint: str, request: RouteRequest) -> bool:
+    def can_send(self, endpoint: str, request: RouteRequest) -> bool:
         """Whether ``request`` may go to a certain endpoint now."""
         known = self._members.by_name.get(endpoint)
         if known is None or endpoint in request.exclude:
@@ -105,7 +105,7 @@
         usual = _SECOND_MS / max(taken, _SECOND_MS / _LONGEST_RETRY)
         return int(_SHORTEST_RETRY + usual * (0.5 + draw))
 
-    def started(
+    def record_start(
         self,
         endpoint: str,
         attempt_id: str,
@@ -124,7 +124,7 @@
         if self._quotas.sent(endpoint, now):
             self._refresh(now)
 
-    def first_token(self, endpoint: str, attempt_id: str, now: Millis) -> None:
+    def record_first_token(self, endpoint: str, attempt_id: str, now: Millis) -> None:
         """Note that an attempt's answer has begun; a repeat changes nothing."""
         known = self._members.with_attempts(endpoint)
         attempt = known.attempts.get(attempt_id) if known else None
@@ -141,7 +141,7 @@
         for prefix in attempt.prefixes:
             self._hints.cached(endpoint, prefix.hash, now)
 
-    def finished(
+    def record_end(
         self, endpoint: str, attempt_id: str, outcome: Outcome, now: Millis
     ) -> Ejected | None:
         """Note how an attempt ended; a repeat changes nothing.
@@ -207,7 +207,7 @@
         if not holders:
             return drawn
         holder = holders[int(draws[1] * len(holders))]
-        if self.offers(holder, request):
+        if self.can_send(holder, request):
             drawn.append(self._members.by_name[holder])
         return drawn
 
--- a/src/azurefold/core/routing/pool_knowledge.py
+++ b/src/azurefold/core/routing/pool_state.py
@@ -4,18 +4,18 @@
 from math import ceil
 
 from azurefold.core.clock import Millis
-from azurefold.core.routing.absences import Absences
 from azurefold.core.routing.backoffs import Backoffs
 from azurefold.core.routing.choice import PoolMeans
 from azurefold.core.routing.ejection import Ejector
+from azurefold.core.routing.exclusions import Exclusions
 from azurefold.core.routing.members import Members
 from azurefold.core.routing.messages import LoadReport
 from azurefold.core.routing.policy import PoolPolicy
 from azurefold.core.routing.prefixes import PrefixHints
 from azurefold.core.routing.quota_sharers import QuotaSharers
-from azurefold.core.routing.quotas import EndpointQuotas, QuotaPart, QuotaWord
+from azurefold.core.routing.quotas import EndpointQuotas, QuotaReport, QuotaShare
 
-__all__ = ["PoolKnowledge"]
+__all__ = ["PoolState"]
 
 
 _LEAVING_RETENTION_MS: Millis = 600_000
@@ -24,7 +24,7 @@
 Longer than an endpoint that is leaving may be temporarily missing from the list."""
 
 
-class PoolKnowledge:
+class PoolState:
     """Members of a pool, their loads, and which of them are left out.
 
     Parameters
@@ -39,7 +39,7 @@
         self._ejector = Ejector(self._policy.ejection)
         self._next_return: Millis | None = None
         self._hints = PrefixHints()
-        self._absences = Absences(self._ejector)
+        self._absences = Exclusions(self._ejector)
         self._quotas = EndpointQuotas()
         self._backoffs = Backoffs()
         self._announced_leaving: dict[str, Millis] = {}
@@ -61,15 +61,15 @@
         return self._absences.paused
 
     @property
-    def is_out(self) -> bool:
+    def is_unavailable(self) -> bool:
         """Whether each endpoint's group is down, or the endpoint out of reach."""
         names = self._members.by_name.keys()
-        return bool(names) and names <= self._absences.paused | self.out_of_reach
+        return bool(names) and names <= self._absences.paused | self.unreachable
 
     @property
-    def out_of_reach(self) -> frozenset[str]:
+    def unreachable(self) -> frozenset[str]:
         """Endpoints to which no connection could be made a moment ago."""
-        return self._absences.out_of_reach
+        return self._absences.unreachable
 
     @property
     def over_quota(self) -> frozenset[str]:
@@ -94,7 +94,7 @@
         return absences.next_return
 
     @property
-    def quota_parts(self) -> dict[str, QuotaPart]:
+    def quota_shares(self) -> dict[str, QuotaShare]:
         """What this node may send to endpoints in need."""
         return self._quotas.parts
 
@@ -183,10 +183,10 @@
         self._absences.paused = names
         self._members.select(self._absences.names)
 
-    def set_doubted(self, names: frozenset[str]) -> None:
+    def set_suspected(self, names: frozenset[str]) -> None:
         """Prefer others to ``names``: their group seems to stand still."""
         for name, endpoint in self._members.by_name.items():
-            endpoint.doubted = name in names
+            endpoint.is_suspected = name in names
 
     def has_slots(self, endpoint: str) -> bool:
         """Whether an endpoint has no more requests than slots, from all nodes."""
@@ -214,10 +214,10 @@
             endpoint.most = None if mean is None else most + (place < rest)
             self._members.recount(endpoint)
 
-    def lost_reach(self, endpoint: str, now: Millis) -> None:
+    def mark_unreachable(self, endpoint: str, now: Millis) -> None:
         """Note that no connection to an endpoint could be made in time."""
         if endpoint in self._members.by_name:
-            self._absences.lost_reach(endpoint, now)
+            self._absences.mark_unreachable(endpoint, now)
             self._refresh(now)
 
     def share_quotas(self, sharers: QuotaSharers, now: Millis) -> None:
@@ -225,7 +225,7 @@
         if self._quotas.set_sharers(sharers, now):
             self._refresh(now)
 
-    def quota_answered(
+    def record_quota_answer(
         self, endpoint: str, rate: float | None, sent_at: Millis, now: Millis
     ) -> bool:
         """Take in the quota that an answer names; return whether that is news.
@@ -244,18 +244,20 @@
         self._refresh(now)
         return True
 
-    def quota_told(self, endpoint: str, word: QuotaWord, now: Millis) -> bool:
+    def record_quota_report(
+        self, endpoint: str, word: QuotaReport, now: Millis
+    ) -> bool:
         """Take in the quota that another node was told; return whether it is news."""
         if not self._quotas.told(endpoint, word, now):
             return False
         self._refresh(now)
         return True
 
-    def quota_words(self, now: Millis) -> dict[str, QuotaWord]:
+    def quota_reports(self, now: Millis) -> dict[str, QuotaReport]:
         """Return what other nodes should be told of quotas."""
         return self._quotas.words(now)
 
-    def quota_heard_since(self, then: Millis) -> bool:
+    def has_own_quota_report_since(self, then: Millis) -> bool:
         """Whether an endpoint told this node itself of its quota after ``then``."""
         return self._quotas.heard_since(then)
 
@@ -313,7 +315,7 @@
             known.leaving = False
             self._refresh(now)
 
-    def load_reported(self, endpoint: str, report: LoadReport, now: Millis) -> None:
+    def record_load(self, endpoint: str, report: LoadReport, now: Millis) -> None:
         """Take in a load report."""
         known = self._members.by_name.get(endpoint)
         if known is None:
--- a/src/azurefold/core/routing/quotas.py
+++ b/src/azurefold/core/routing/quotas.py
@@ -13,7 +13,7 @@
 from azurefold.core.clock import Millis
 from azurefold.core.routing.quota_sharers import QuotaSharers
 
-__all__ = ["EndpointQuotas", "QuotaPart", "QuotaWord"]
+__all__ = ["EndpointQuotas", "QuotaShare", "QuotaReport"]
 
 _SECOND_MS = 1_000
 
@@ -41,23 +41,23 @@
 
 
 @dataclass(frozen=True, slots=True)
-class QuotaWord:
+class QuotaReport:
     """What an endpoint said of its quota.
 
     Parameters
     ----------
     rate : float or None
         Requests a second from all nodes; None if it named no quota.
-    said_at : int
+    reported_at : int
         When it said so, on this node's clock.
     """
 
     rate: float | None
-    said_at: Millis
+    reported_at: Millis
 
 
 @dataclass(frozen=True, slots=True)
-class QuotaPart:
+class QuotaShare:
     """What this node may send to an endpoint in need.
 
     Parameters
@@ -76,7 +76,7 @@
 class _Quota:
     """One endpoint's quota, and what this node holds of it."""
 
-    word: QuotaWord
+    word: QuotaReport
     is_own: bool
     rate_here: float = 0.0
     held_since: Millis | None = None
@@ -143,12 +143,12 @@
         known = self._quotas.get(endpoint)
         if rate is None and not _may_end(known, sent_at):
             return False
-        return self._take(endpoint, QuotaWord(rate, now), now, is_own=True)
+        return self._take(endpoint, QuotaReport(rate, now), now, is_own=True)
 
-    def told(self, endpoint: str, word: QuotaWord, now: Millis) -> bool:
+    def told(self, endpoint: str, word: QuotaReport, now: Millis) -> bool:
         """Take in what another node was told; return whether that is news."""
         known = self._quotas.get(endpoint)
-        if known is not None and word.said_at <= known.word.said_at:
+        if known is not None and word.reported_at <= known.word.reported_at:
             return False
         if known is None and word.rate is None:
             return False
@@ -173,26 +173,26 @@
         }
         return {endpoint: at for endpoint, at in until.items() if at > now}
 
-    def words(self, now: Millis) -> dict[str, QuotaWord]:
+    def words(self, now: Millis) -> dict[str, QuotaReport]:
         """Return what the other nodes should be told."""
         return {
             endpoint: quota.word
             for endpoint, quota in self._quotas.items()
-            if quota.word.rate is not None or now - quota.word.said_at < _TOLD_MS
+            if quota.word.rate is not None or now - quota.word.reported_at < _TOLD_MS
         }
 
     def heard_since(self, then: Millis) -> bool:
         """Whether an endpoint told this node itself of its quota after ``then``."""
         return any(
-            quota.is_own and quota.word.said_at > then
+            quota.is_own and quota.word.reported_at > then
             for quota in self._quotas.values()
         )
 
     @property
-    def parts(self) -> dict[str, QuotaPart]:
+    def parts(self) -> dict[str, QuotaShare]:
         """This node's parts, by endpoint in need."""
         return {
-            endpoint: QuotaPart(quota.word.rate, quota.rate_here)
+            endpoint: QuotaShare(quota.word.rate, quota.rate_here)
             for endpoint, quota in self._quotas.items()
             if quota.word.rate is not None
         }
@@ -211,12 +211,12 @@
         return [
             endpoint
             for endpoint, quota in self._quotas.items()
-            if quota.word.said_at < old
+            if quota.word.reported_at < old
             and (endpoint not in present or quota.word.rate is None)
         ]
 
     def _take(
-        self, endpoint: str, word: QuotaWord, now: Millis, *, is_own: bool
+        self, endpoint: str, word: QuotaReport, now: Millis, *, is_own: bool
     ) -> bool:
         known = self._quotas.get(endpoint)
         if known is None:
@@ -237,7 +237,7 @@
             quota.hold(0.0, now)
             return
         rate = max(_LEAST_RATE, quota.word.rate)
-        turn = max(0, now - quota.word.said_at) // _UNUSED_MS
+        turn = max(0, now - quota.word.reported_at) // _UNUSED_MS
         holders = self._sharers.holders(endpoint, rate, turn)
         is_holder = self._sharers.node in holders
         quota.hold(rate / len(holders) if is_holder else 0.0, now)
@@ -247,4 +247,4 @@
     """Whether an answer without a quota to a request sent then ends a need."""
     if known is None or known.word.rate is None:
         return False
-    return sent_at >= known.word.said_at
+    return sent_at >= known.word.reported_at
--- a/src/azurefold/core/routing/rank_groups.py
+++ b/src/azurefold/core/routing/rank_groups.py
@@ -11,9 +11,9 @@
 from enum import IntEnum
 
 from azurefold.core.clock import Millis
-from azurefold.core.routing.peer_loads import endpoint_mark
+from azurefold.core.routing.peer_loads import endpoint_hash
 
-__all__ = ["GroupNews", "RankGroups", "Standing"]
+__all__ = ["GroupStatus", "RankGroups", "Standing"]
 
 _TRIAL_EVERY_MS: Millis = 1_000
 """Between two requests by which a node finds out for itself whether a group runs
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class GroupNews:
+class GroupStatus:
     """What the coordinator tells of one group.
 
     Parameters
@@ -77,8 +77,8 @@
     down_since: Millis | None = None
     refused_at: Millis = 0
     tried_at: Millis = 0
-    forms_since: Millis | None = None
-    doubted: bool = False
+    forming_since: Millis | None = None
+    is_suspected: bool = False
     served_at: Millis = -1_000_000
     refused_by: str = ""
     refused_with_room_at: Millis = -1_000_000
@@ -93,9 +93,9 @@
 
     def group_of(self, endpoint: str) -> int:
         """Return the number of an endpoint's group; 0 if it is not known."""
-        return self._group_of.get(endpoint_mark(endpoint), _UNKNOWN)
+        return self._group_of.get(endpoint_hash(endpoint), _UNKNOWN)
 
-    def told(self, news: GroupNews, now: Millis) -> bool:
+    def update(self, news: GroupStatus, now: Millis) -> bool:
         """Take in what the coordinator tells; return whether anything changed."""
         standing = self._standing(news.group)
         if news.epoch < standing.epoch:
@@ -115,12 +115,12 @@
         elif formed or now - standing.refused_at >= _NEWS_AGE_MS:
             standing.down_since = None
         if news.standing is not Standing.FORMS:
-            standing.forms_since = None
-        elif standing.forms_since is None:
-            standing.forms_since = now
+            standing.forming_since = None
+        elif standing.forming_since is None:
+            standing.forming_since = now
         return moved or was_down != (standing.down_since is not None)
 
-    def refused(self, endpoint: str, at_fault: str, now: Millis) -> None:
+    def record_refusal(self, endpoint: str, at_fault: str, now: Millis) -> None:
         """Note that a rank refused because of another one.
 
         Parameters
@@ -138,7 +138,7 @@
         self._note_down(standing, now)
         standing.refused_at = standing.tried_at = now
 
-    def refused_with_room(self, endpoint: str, now: Millis) -> bool:
+    def record_refusal_with_room(self, endpoint: str, now: Millis) -> bool:
         """Note that a rank refused although it had room; return if its group is down.
 
         Ranks of a group that stands still name themselves as the cause. One rank may
@@ -146,30 +146,30 @@
         second have the group in common.
         """
         known = self._standing(self.group_of(endpoint))
-        known.doubted = True
+        known.is_suspected = True
         is_second = now - known.refused_with_room_at < _TWO_REFUSALS_MS
         if is_second and known.refused_by != endpoint:
-            self.refused(endpoint, "", now)
+            self.record_refusal(endpoint, "", now)
             return True
         known.refused_by, known.refused_with_room_at = endpoint, now
         return False
 
-    def doubt(self, endpoint: str) -> bool:
+    def mark_suspected(self, endpoint: str) -> bool:
         """Note a sign that an endpoint's group stands still; return if that is news."""
         standing = self._standing(self.group_of(endpoint))
-        is_news = not standing.doubted
-        standing.doubted = True
+        is_news = not standing.is_suspected
+        standing.is_suspected = True
         return is_news
 
-    def is_doubted(self, endpoint: str) -> bool:
+    def is_suspected(self, endpoint: str) -> bool:
         """Whether an endpoint's group seems to stand still."""
         standing = self._standings.get(self.group_of(endpoint))
-        return standing is not None and standing.doubted
+        return standing is not None and standing.is_suspected
 
-    def served(self, endpoint: str, sent_at: Millis, now: Millis) -> bool:
+    def record_event(self, endpoint: str, sent_at: Millis, now: Millis) -> bool:
         """Note an event of a request sent at ``sent_at``; return if that is news."""
         standing = self._standing(self.group_of(endpoint))
-        was_doubted, standing.doubted = standing.doubted, False
+        was_doubted, standing.is_suspected = standing.is_suspected, False
         if standing.down_since is None or sent_at < standing.refused_at:
             return was_doubted
         standing.down_since = None
@@ -181,14 +181,14 @@
         standing = self._standings.get(self.group_of(endpoint))
         return standing is not None and standing.down_since is not None
 
-    def forms_since(self, endpoints: Iterable[str]) -> Millis | None:
+    def forming_since(self, endpoints: Iterable[str]) -> Millis | None:
         """Return since when a group of ``endpoints`` forms anew; None if none does."""
         groups = {self.group_of(endpoint) for endpoint in endpoints}
         known = [each for group in groups if (each := self._standings.get(group))]
-        since = [each.forms_since for each in known if each.forms_since is not None]
+        since = [each.forming_since for each in known if each.forming_since is not None]
         return max(since, default=None)
 
-    def take_trial(self, endpoints: Iterable[str], now: Millis) -> str | None:
+    def take_probe(self, endpoints: Iterable[str], now: Millis) -> str | None:
         """Return an endpoint of a group that is due for a trial, if there is one.
 
         What goes wrong without: the coordinator is cut off from this node, nothing
@@ -203,9 +203,9 @@
                 return endpoint
         return None
 
-    def forget_all_but(self, endpoints: Iterable[str]) -> None:
+    def retain(self, endpoints: Iterable[str]) -> None:
         """Forget the ranks that are gone."""
-        marks = {endpoint_mark(endpoint) for endpoint in endpoints}
+        marks = {endpoint_hash(endpoint) for endpoint in endpoints}
         for gone in self._group_of.keys() - marks:
             del self._group_of[gone]
 
--- a/src/azurefold/core/routing/retries.py
+++ b/src/azurefold/core/routing/retries.py
@@ -18,7 +18,7 @@
 
 from azurefold.core.clock import Millis
 
-__all__ = ["RetryBudget", "RetryPart", "RetryPolicy"]
+__all__ = ["RetryBudget", "RetryAllowance", "RetryPolicy"]
 
 _STEP_MS: Millis = 100
 """Requests and retries are counted in steps this long: a hundred in a window of ten
@@ -49,7 +49,7 @@
     window: Millis = 10_000
 
 
-class RetryPart:
+class RetryAllowance:
     """This node's part in the retries that are allowed beside the share of requests.
 
     A part that grows counts only after a while. What goes wrong without: somebody
@@ -92,15 +92,15 @@
     ----------
     policy : RetryPolicy, optional
         Size of the budget.
-    part : RetryPart, optional
+    part : RetryAllowance, optional
         Retries allowed besides, so that a quiet node can retry; 2 by default.
     """
 
     def __init__(
-        self, policy: RetryPolicy | None = None, part: RetryPart | None = None
+        self, policy: RetryPolicy | None = None, part: RetryAllowance | None = None
     ) -> None:
         self._policy = policy or RetryPolicy()
-        self._part = part or RetryPart(2.0)
+        self._part = part or RetryAllowance(2.0)
         self._requests = _StepCounts()
         self._retries = _StepCounts()
 
--- a/src/azurefold/entry/admission.py
+++ b/src/azurefold/entry/admission.py
@@ -217,7 +217,7 @@
         """Note how an attempt ended, and hand on its place."""
         now = self.clock.now()
         self._count_answer(endpoint, outcome)
-        ejected = self.pool.finished(endpoint, attempt_id, outcome, now)
+        ejected = self.pool.record_end(endpoint, attempt_id, outcome, now)
         if ejected is not None:
             self._count_ejection(ejected)
         self._refill(endpoint)
@@ -266,7 +266,7 @@
         if not self._waiting or self.contenders <= 1 or self.pool.room <= 0:
             return
         now = self.clock.now()
-        if self.pool.offers(endpoint, _NO_REQUEST):
+        if self.pool.can_send(endpoint, _NO_REQUEST):
             item = self._take(now)
             if item is not None:
                 self._grant_waiting(item, now, endpoint)
@@ -342,7 +342,7 @@
     ) -> None:
         ticket, result = self._waiting.pop(item.request_id)
         route = replace(ticket.route, is_contended=self.contenders > 1)
-        if preferred is not None and self.pool.offers(preferred, route):
+        if preferred is not None and self.pool.can_send(preferred, route):
             chosen = Chosen(preferred)
         else:
             chosen = self._choose(route, now)
@@ -365,7 +365,7 @@
         # Counted from here, not from the dispatch: between the two this
         # greenlet may yield, and others would choose the same free place.
         now = self.clock.now()
-        self.pool.started(chosen.endpoint, ticket.request_id, now, ticket.route)
+        self.pool.record_start(chosen.endpoint, ticket.request_id, now, ticket.route)
         self.on_demand()
         return chosen
 
--- a/src/azurefold/entry/answer_reader.py
+++ b/src/azurefold/entry/answer_reader.py
@@ -73,7 +73,7 @@
             If the rest has to be fetched over another connection.
         """
         request = self.placement.request
-        self.placement.admission.pool.load_reported(
+        self.placement.admission.pool.record_load(
             agent.endpoint, LoadReport(opened.running, 0), self.clock.now()
         )
         yield Announced(_answer_id(agent, assembler))
@@ -121,7 +121,7 @@
         self.course.passed = assembler.next_offset
         if not self._first_text:
             self._first_text = True
-            self.placement.admission.pool.first_token(
+            self.placement.admission.pool.record_first_token(
                 agent.endpoint, assembler.attempt_id, self.clock.now()
             )
 
--- a/src/azurefold/gateway/callers/relay.py
+++ b/src/azurefold/gateway/callers/relay.py
@@ -153,7 +153,7 @@
             now = self.state.clock.now()
             pool = admission.pool
             candidates = filter(pool.accepts_requests, pool.paused - pool.over_quota)
-            trial = self.service.groups.take_trial(candidates, now)
+            trial = self.service.groups.take_probe(candidates, now)
             if trial is not None:
                 return admission.try_out(self._ticket(), trial)
         placed = admission.acquire(self._ticket())
@@ -263,8 +263,8 @@
         if self._is_quarantined():
             return _RetryDenial.CRASHES_ENDPOINTS
         # All ranks of a group stop together: another one would refuse as well.
-        is_out = self.service.admission.pool.is_out
-        if is_out and isinstance(self._in_outage(), TurnAway):
+        is_unavailable = self.service.admission.pool.is_unavailable
+        if is_unavailable and isinstance(self._in_outage(), TurnAway):
             return _RetryDenial.ALL_GROUPS_DOWN
         refusals = min(self._progress.free_refusals, _MOST_FREE_REFUSALS)
         if self.attempts >= self.call.route.max_attempts + refusals:
@@ -306,7 +306,7 @@
         if failure.reason == CRASHES_ENDPOINTS:
             # A retry would crash another endpoint, so no Retry-After is sent.
             failure = replace(failure, retry_after_ms=None)
-        elif self.service.admission.pool.is_out or self.state.is_cut_off:
+        elif self.service.admission.pool.is_unavailable or self.state.is_cut_off:
             left = self.call.deadline - self.state.clock.now()
             failure = replace(failure, retry_after_ms=latest_return(left))
         not_run = failure.ran is Ran.NOT_RUN
--- a/src/azurefold/gateway/endpoints/attempt.py
+++ b/src/azurefold/gateway/endpoints/attempt.py
@@ -196,7 +196,7 @@
             if not events:
                 continue
             now = self.state.clock.now()
-            pool.first_token(self.endpoint, self.id, now)
+            pool.record_first_token(self.endpoint, self.id, now)
             if self.service.is_group:
                 self.service.group_served(self.endpoint, self._sent_at, now)
             self._observe_events(now)
--- a/src/azurefold/gateway/groups/control.py
+++ b/src/azurefold/gateway/groups/control.py
@@ -8,8 +8,8 @@
 
 from azurefold.core.balance.plan import MapPlan
 from azurefold.core.clock import Millis
-from azurefold.core.routing.peer_loads import endpoint_mark
-from azurefold.core.routing.rank_groups import GroupNews
+from azurefold.core.routing.peer_loads import endpoint_hash
+from azurefold.core.routing.rank_groups import GroupStatus
 from azurefold.gateway.groups.changes import GroupChanges, Row
 from azurefold.gateway.groups.map_planning import (
     is_worth_changing,
@@ -153,16 +153,16 @@
         return any(control.is_changing for control in self._controls.values())
 
     @property
-    def news(self) -> tuple[GroupNews, ...]:
+    def news(self) -> tuple[GroupStatus, ...]:
         """What the other gateways are told of the groups."""
         service = self.watch.service.view.name
         return tuple(
-            GroupNews(
-                endpoint_mark(service),
-                endpoint_mark(f"{service}/{view.name}"),
+            GroupStatus(
+                endpoint_hash(service),
+                endpoint_hash(f"{service}/{view.name}"),
                 view.epoch,
                 view.standing,
-                tuple(sorted(map(endpoint_mark, view.endpoints.values()))),
+                tuple(sorted(map(endpoint_hash, view.endpoints.values()))),
                 view.running,
             )
             for view in self.watch.groups.values()
--- a/src/azurefold/gateway/metrics.py
+++ b/src/azurefold/gateway/metrics.py
@@ -93,7 +93,7 @@
             labels=["service", "of"],
         )
         for name, service in self._state.services.items():
-            parts = service.admission.pool.quota_parts.values()
+            parts = service.admission.pool.quota_shares.values()
             family.add_metric([name, "all"], sum(part.quota for part in parts))
             family.add_metric([name, "here"], sum(part.rate for part in parts))
         return family
--- a/src/azurefold/gateway/peers/exchange.py
+++ b/src/azurefold/gateway/peers/exchange.py
@@ -17,7 +17,7 @@
 from azurefold.core.membership.renewal import Turn
 from azurefold.core.routing.cells import Cell, cell_of
 from azurefold.core.routing.messages import LoadReport
-from azurefold.core.routing.peer_loads import LoadDigest, PeerLoads, endpoint_mark
+from azurefold.core.routing.peer_loads import LoadDigest, PeerLoads, endpoint_hash
 from azurefold.gateway.peers.messages import Coordination, PeerMessage
 from azurefold.gateway.peers.portions import (
     MOST_BYTES,
@@ -145,9 +145,9 @@
     def _deal_cells(self) -> None:
         self.cell = cell_of(self.state.settings.name, self._peers)
         for node in self.loads.nodes - self.cell.nodes:
-            self.loads.give(node, self.visitors)
+            self.loads.move_to(node, self.visitors)
         for node in self.visitors.nodes & self.cell.nodes:
-            self.visitors.give(node, self.loads)
+            self.visitors.move_to(node, self.loads)
         self.state.set_nodes(len(self._peers) + 1)
         self.state.set_cell(self.cell)
         self._take_turn()
@@ -336,7 +336,7 @@
 
     def _own_loads(self) -> dict[int, int]:
         return {
-            endpoint_mark(endpoint): load
+            endpoint_hash(endpoint): load
             for service in self.state.services.values()
             for endpoint, load in service.admission.pool.loads.items()
         }
@@ -360,12 +360,12 @@
             self._deal_cells()
         self._peers[message.node] = Peer(message.node, ip, message.port)
         if message.node not in self.cell.nodes:
-            if not self.visitors.hear(digest, now):
+            if not self.visitors.receive(digest, now):
                 return
             self._report_loads(now)
         else:
             is_known = message.node in self.loads.nodes
-            if not self.loads.hear(digest, now):
+            if not self.loads.receive(digest, now):
                 return
             if not is_known:
                 log_event(_log, "peer_heard", peer=message.node)
@@ -395,7 +395,7 @@
             self._report_loads(now)
 
     def _report_loads(self, now: Millis) -> None:
-        contenders = self.loads.nodes_waiting + 1
+        contenders = self.loads.waiting_node_count + 1
         for service in self.state.services.values():
             service.admission.contenders = contenders
             pool = service.admission.pool
@@ -404,14 +404,14 @@
                     # Until those who sent there before have told, it is not empty
                     # but unknown: taken for as busy as the others.
                     continue
-                of_cell = self.loads.of(endpoint) + pool.load_of(endpoint)
+                of_cell = self.loads.requests_at(endpoint) + pool.load_of(endpoint)
                 if service.is_divided:
-                    all_nodes = of_cell + self.visitors.of(endpoint)
+                    all_nodes = of_cell + self.visitors.requests_at(endpoint)
                 else:
                     # All cells send to all endpoints: the others have about as
                     # many requests there as this one.
                     all_nodes = of_cell * self.cell.count
-                pool.load_reported(endpoint, LoadReport(all_nodes, 0), now)
+                pool.record_load(endpoint, LoadReport(all_nodes, 0), now)
             if service.admission.waiting:
                 service.admission.pump()
 
--- a/src/azurefold/gateway/peers/membership.py
+++ b/src/azurefold/gateway/peers/membership.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from azurefold.core.clock import Millis
-from azurefold.core.routing.quotas import QuotaWord
+from azurefold.core.routing.quotas import QuotaReport
 from azurefold.gateway.groups.coordinator import Coordinator, new_coordinator
 from azurefold.gateway.peers.exchange import Exchange, Peer, new_exchange
 from azurefold.gateway.peers.messages import PeerMessage
@@ -156,7 +156,7 @@
             state.group_told(news_of_group(beat))
         sent = sent_at(message, state.clock.now(), state.store_now)
         for beat in message.quotas:
-            word = QuotaWord(beat.rate, sent - beat.age)
+            word = QuotaReport(beat.rate, sent - beat.age)
             state.quota_told(beat.endpoint, word, message.node)
         for beat in message.crashes:
             now = state.clock.now()
--- a/src/azurefold/gateway/peers/messages.py
+++ b/src/azurefold/gateway/peers/messages.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from azurefold.core.clock import Millis
-from azurefold.core.routing.rank_groups import GroupNews, Standing
+from azurefold.core.routing.rank_groups import GroupStatus, Standing
 
 __all__ = [
     "Coordination",
@@ -164,7 +164,7 @@
     ----------
     term, ended_term : int
         Of its coordination, and of one that it gave up; 0 for none.
-    groups : tuple of GroupNews
+    groups : tuple of GroupStatus
         What it knows of the groups.
     is_changing : bool
         Whether a change of a map is under way.
@@ -172,7 +172,7 @@
 
     term: int = 0
     ended_term: int = 0
-    groups: tuple[GroupNews, ...] = ()
+    groups: tuple[GroupStatus, ...] = ()
     is_changing: bool = False
 
     @property
--- a/src/azurefold/gateway/peers/portions.py
+++ b/src/azurefold/gateway/peers/portions.py
@@ -14,9 +14,9 @@
 from azurefold.core.attempts.crashes import CrashReport
 from azurefold.core.clock import Millis
 from azurefold.core.membership.freshness import TableStatement
-from azurefold.core.routing.peer_loads import endpoint_mark
-from azurefold.core.routing.quotas import QuotaWord
-from azurefold.core.routing.rank_groups import GroupNews
+from azurefold.core.routing.peer_loads import endpoint_hash
+from azurefold.core.routing.quotas import QuotaReport
+from azurefold.core.routing.rank_groups import GroupStatus
 from azurefold.gateway.peers.messages import (
     CrashBeat,
     GroupBeat,
@@ -70,7 +70,7 @@
 
 def departed_marks(names: Iterable[str]) -> tuple[int, ...]:
     """Return the marks of departed endpoints that a message has room for."""
-    return tuple(map(endpoint_mark, sorted(names)[:_MOST_DEPARTED]))
+    return tuple(map(endpoint_hash, sorted(names)[:_MOST_DEPARTED]))
 
 
 def heaviest(
@@ -119,10 +119,10 @@
     return CrashReport({mark: now - age for mark, age in beat.crashes}, answered_at)
 
 
-def news_of_group(beat: GroupBeat) -> GroupNews:
+def news_of_group(beat: GroupBeat) -> GroupStatus:
     """Return what a portion tells of its group."""
     running = None if beat.running is None else beat.running / _HUNDREDTHS
-    return GroupNews(
+    return GroupStatus(
         beat.service, beat.group, beat.epoch, beat.standing, beat.ranks, running
     )
 
@@ -152,7 +152,9 @@
     _known: tuple[tuple[int, ...], ...] = ()
     _changed_at: Millis = 0
 
-    def next(self, groups: tuple[GroupNews, ...], now: Millis) -> tuple[GroupBeat, ...]:
+    def next(
+        self, groups: tuple[GroupStatus, ...], now: Millis
+    ) -> tuple[GroupBeat, ...]:
         """Return what the next message tells: of each group in turn some ranks."""
         ranks = tuple(news.ranks for news in groups)
         if ranks != self._known:
@@ -181,13 +183,13 @@
     _next: int = field(default=0)
 
     def next(
-        self, words: Mapping[int, QuotaWord], now: Millis
+        self, words: Mapping[int, QuotaReport], now: Millis
     ) -> tuple[QuotaBeat, ...]:
         """Return what the next message tells.
 
         Parameters
         ----------
-        words : mapping of int to QuotaWord
+        words : mapping of int to QuotaReport
             By mark of the endpoint's name.
         now : int
         """
@@ -196,7 +198,7 @@
         chosen = [marks[(self._next + turn) % len(marks)] for turn in range(number)]
         self._next += number
         return tuple(
-            QuotaBeat(mark, words[mark].rate, max(0, now - words[mark].said_at))
+            QuotaBeat(mark, words[mark].rate, max(0, now - words[mark].reported_at))
             for mark in chosen
         )
 
@@ -235,7 +237,7 @@
     return CrashBeat(identity, answered, crashes)
 
 
-def _slices(news: GroupNews, largest: int) -> Iterator[GroupBeat]:
+def _slices(news: GroupStatus, largest: int) -> Iterator[GroupBeat]:
     running = None if news.running is None else round(_HUNDREDTHS * news.running)
     for first in range(0, len(news.ranks) or 1, largest):
         ranks = news.ranks[first : first + largest]
--- a/src/azurefold/gateway/quota_news.py
+++ b/src/azurefold/gateway/quota_news.py
@@ -6,7 +6,7 @@
 
 from azurefold.core.clock import Millis
 from azurefold.core.routing.pool import Pool
-from azurefold.core.routing.quotas import QuotaPart, QuotaWord
+from azurefold.core.routing.quotas import QuotaReport, QuotaShare
 from azurefold.internal.logs import log_event
 from azurefold.platform.headers import AnswerHead
 
@@ -28,7 +28,7 @@
     service: str
     pool: Pool
     _unreadable: set[str] = field(default_factory=set)
-    _logged: dict[str, QuotaPart] = field(default_factory=dict)
+    _logged: dict[str, QuotaShare] = field(default_factory=dict)
 
     def answered(
         self, endpoint: str, head: AnswerHead, sent_at: Millis, now: Millis
@@ -40,17 +40,17 @@
         if head.quota is None and not head.sealed:
             # A refusal is made before the endpoint looks at its need.
             return
-        if self.pool.quota_answered(endpoint, head.quota, sent_at, now):
-            self._log(endpoint, QuotaWord(head.quota, now), "answer", now)
+        if self.pool.record_quota_answer(endpoint, head.quota, sent_at, now):
+            self._log(endpoint, QuotaReport(head.quota, now), "answer", now)
 
-    def told(self, endpoint: str, word: QuotaWord, by: str, now: Millis) -> None:
+    def told(self, endpoint: str, word: QuotaReport, by: str, now: Millis) -> None:
         """Take in what another gateway, ``by``, was told."""
-        if self.pool.quota_told(endpoint, word, now):
+        if self.pool.record_quota_report(endpoint, word, now):
             self._log(endpoint, word, by, now)
 
     def log_parts(self) -> None:
         """Log which quotas this gateway holds, where that has changed."""
-        parts = self.pool.quota_parts
+        parts = self.pool.quota_shares
         for endpoint, part in parts.items():
             known = self._logged.get(endpoint)
             if (part.rate > 0) != (known is not None and known.rate > 0):
@@ -75,7 +75,7 @@
         self._unreadable.add(endpoint)
         log_event(_log, "quota_unreadable", logging.ERROR, endpoint=endpoint, text=text)
 
-    def _log(self, endpoint: str, word: QuotaWord, by: str, now: Millis) -> None:
+    def _log(self, endpoint: str, word: QuotaReport, by: str, now: Millis) -> None:
         ended = word.rate is None
         log_event(
             _log,
@@ -84,5 +84,5 @@
             endpoint=endpoint,
             per_second="none" if ended else word.rate,
             by=by,
-            age_ms=now - word.said_at,
+            age_ms=now - word.reported_at,
         )
--- a/src/azurefold/gateway/service_state.py
+++ b/src/azurefold/gateway/service_state.py
@@ -12,12 +12,12 @@
 from azurefold.core.routing.cells import Cell
 from azurefold.core.routing.endpoint import ExchangedLoads
 from azurefold.core.routing.pass_limit import PassLimit
-from azurefold.core.routing.peer_loads import endpoint_mark
+from azurefold.core.routing.peer_loads import endpoint_hash
 from azurefold.core.routing.policy import PoolPolicy
 from azurefold.core.routing.pool import Pool
 from azurefold.core.routing.quota_sharers import QuotaSharers
-from azurefold.core.routing.quotas import QuotaWord
-from azurefold.core.routing.rank_groups import GroupNews, RankGroups
+from azurefold.core.routing.quotas import QuotaReport
+from azurefold.core.routing.rank_groups import GroupStatus, RankGroups
 from azurefold.core.routing.retries import RetryBudget
 from azurefold.entry.admission import Admission
 from azurefold.gateway.endpoint_notices import EndpointNotices
@@ -119,24 +119,24 @@
         """Whether any group is neither down nor gives cause for doubt."""
         groups = self.groups
         return any(
-            not groups.is_down(name) and not groups.is_doubted(name)
+            not groups.is_down(name) and not groups.is_suspected(name)
             for name in self.entries
         )
 
     def forms_in(self, now: Millis) -> Millis | None:
         """Return until when a group that forms anew will run; None if none does."""
-        since = self.groups.forms_since(self.entries)
+        since = self.groups.forming_since(self.entries)
         if since is None:
             return None
         return max(0, since + self.view.engine.form_ms - now)
 
-    def group_told(self, news: GroupNews, now: Millis) -> None:
+    def group_told(self, news: GroupStatus, now: Millis) -> None:
         """Take in what the coordinator tells of a group."""
-        if self.groups.told(news, now):
+        if self.groups.update(news, now):
             self._pause_groups(f"coordinator_{news.standing.name.lower()}")
         limit = self._limits.get(news.group)
         if limit is not None and news.running is not None:
-            limit.told(news.running, now)
+            limit.record_group_mean(news.running, now)
 
     def rank_refused(self, endpoint: str, at_fault: str, now: Millis) -> bool:
         """Note that a rank refused; return whether that is put down to its group.
@@ -151,10 +151,10 @@
         named = (at_fault, *self._names_at(at_fault))
         cause = next((name for name in named if name in self.entries), "")
         if at_fault and cause != endpoint:
-            self.groups.refused(endpoint, cause, now)
+            self.groups.record_refusal(endpoint, cause, now)
         elif not self.admission.pool.has_slots(endpoint):
             return False
-        elif not self.groups.refused_with_room(endpoint, now):
+        elif not self.groups.record_refusal_with_room(endpoint, now):
             self._pause_groups("rank_refused_with_room")
             return True
         self._pause_groups("rank_refused")
@@ -162,7 +162,7 @@
 
     def group_served(self, endpoint: str, sent_at: Millis, now: Millis) -> None:
         """Note an event of a request that was sent to a rank at ``sent_at``."""
-        if self.groups.served(endpoint, sent_at, now):
+        if self.groups.record_event(endpoint, sent_at, now):
             self._pause_groups("rank_served")
 
     def first_event(self, taken: Millis) -> None:
@@ -185,7 +185,7 @@
         pool = self.admission.pool
         ranks = [name for name in pool.endpoints if self.groups.group_of(name) == group]
         limit.observe(gap, pool.mean_running(ranks), now)
-        mean = limit.requests_of_a_rank(self.promised_gap_ms, engine.slots, now)
+        mean = limit.max_requests_per_rank(self.promised_gap_ms, engine.slots, now)
         pool.limit_requests(ranks, mean)
         self._log_limit(group, limit, mean, now)
         if self.admission.waiting:
@@ -218,8 +218,8 @@
         Its group is only doubted: it may be this node alone that does not reach the
         rank. Events of the group's other ranks show that it runs.
         """
-        self.admission.pool.lost_reach(endpoint, now)
-        if self.is_group and self.groups.doubt(endpoint):
+        self.admission.pool.mark_unreachable(endpoint, now)
+        if self.is_group and self.groups.mark_suspected(endpoint):
             self._pause_groups("rank_out_of_reach")
 
     def record_backoff(
@@ -241,7 +241,7 @@
         """Take in the quota that an endpoint's own answer names, or names no more."""
         self._quota_news.answered(endpoint, head, sent_at, now)
 
-    def quota_told(self, mark: int, word: QuotaWord, by: str, now: Millis) -> None:
+    def quota_told(self, mark: int, word: QuotaReport, by: str, now: Millis) -> None:
         """Take in what another gateway was told of the quota of a marked endpoint."""
         endpoint = self._names.get(mark)
         if endpoint:
@@ -268,7 +268,7 @@
         """Let requests go to ranks whose group is not known to be down."""
         paused = frozenset(filter(self.groups.is_down, self.entries))
         pool = self.admission.pool
-        pool.set_doubted(frozenset(filter(self.groups.is_doubted, self.entries)))
+        pool.set_suspected(frozenset(filter(self.groups.is_suspected, self.entries)))
         if paused == pool.paused:
             return
         log_event(
@@ -295,11 +295,11 @@
     ) -> None:
         """Take in the present endpoints, of which the cell's get requests."""
         self.entries = {entry.name: entry for entry in entries}
-        self._names = {endpoint_mark(name): name for name in self.entries}
+        self._names = {endpoint_hash(name): name for name in self.entries}
         self._quota_news.forget_all_but(self.entries)
         self._endpoint_notices.forget_all_but(self.entries)
         staying = [entry.name for entry in entries if not entry.leaving]
-        self.is_divided = cell.divides(staying)
+        self.is_divided = cell.should_partition(staying)
         used = self._deal(staying, cell)
         self._dealt_at = {name: self._dealt_at.get(name, now) for name in used}
         pool = self.admission.pool
@@ -310,7 +310,7 @@
             is_near = entry.data_centre == self.data_centre
             pool.set_distance(entry.name, 0 if is_near else _OTHER_DATA_CENTRE_MS)
         self._set_slots()
-        self.groups.forget_all_but(self.entries)
+        self.groups.retain(self.entries)
         self._pause_groups("endpoints_changed")
         self.admission.pump()
 
@@ -320,7 +320,7 @@
             return frozenset(staying)
         before = self._dealt if self._cell_number == cell.number else {}
         self._cell_number = cell.number
-        self._dealt = cell.deal(staying)
+        self._dealt = cell.assign_endpoints(staying)
         moved = sum(
             before.get(name, home) != home for name, home in self._dealt.items()
         )
--- a/src/azurefold/gateway/state.py
+++ b/src/azurefold/gateway/state.py
@@ -16,11 +16,11 @@
 from azurefold.core.routes.model import RoutingConfiguration
 from azurefold.core.routes.table import RouteTable, route_table
 from azurefold.core.routing.cells import Cell
-from azurefold.core.routing.peer_loads import endpoint_mark
+from azurefold.core.routing.peer_loads import endpoint_hash
 from azurefold.core.routing.quota_sharers import QuotaSharers
-from azurefold.core.routing.quotas import QuotaWord
-from azurefold.core.routing.rank_groups import GroupNews
-from azurefold.core.routing.retries import RetryBudget, RetryPart, RetryPolicy
+from azurefold.core.routing.quotas import QuotaReport
+from azurefold.core.routing.rank_groups import GroupStatus
+from azurefold.core.routing.retries import RetryAllowance, RetryBudget, RetryPolicy
 from azurefold.gateway.endpoints.connections import EndpointLinks
 from azurefold.gateway.service_state import GatewayService, new_gateway_service
 from azurefold.gateway.settings import GatewaySettings
@@ -82,7 +82,7 @@
         Gateways, this one included.
     cell : Cell
         The gateways whose loads are known here.
-    retry_part : RetryPart
+    retry_part : RetryAllowance
         Of the retries that all gateways may make beside a share of the requests.
     crashes : CrashTracker
         Endpoint crashes by request, including those reported by other gateways.
@@ -122,7 +122,7 @@
     timings: Timings = field(default_factory=Timings)
     nodes: int = _USUAL_NODES
     cell: Cell = field(default_factory=Cell)
-    retry_part: RetryPart = field(kw_only=True)
+    retry_part: RetryAllowance = field(kw_only=True)
     crashes: CrashTracker = field(default_factory=CrashTracker)
     configuration_freshness: TableFreshness = field(default_factory=TableFreshness)
     endpoints_freshness: TableFreshness = field(default_factory=TableFreshness)
@@ -283,7 +283,7 @@
             Identity of the request.
         entry : EndpointEntry
         """
-        incarnation = endpoint_mark(f"{entry.name}@{entry.born}")
+        incarnation = endpoint_hash(f"{entry.name}@{entry.born}")
         self.crashes.note_crash(identity, incarnation, self.clock.now())
         self.demand_changed.set()
 
@@ -327,7 +327,7 @@
         names = [
             name
             for name in (*registry.entries, *registry.withheld)
-            if endpoint_mark(name) in marks
+            if endpoint_hash(name) in marks
         ]
         taken = registry.told_departed(names, self.clock.now())
         if taken:
@@ -335,22 +335,22 @@
             log_event(_log, "endpoints_withheld", endpoints=told, told_by=by)
             self.spread_endpoints()
 
-    def group_told(self, news: GroupNews) -> None:
+    def group_told(self, news: GroupStatus) -> None:
         """Take in what the coordinator tells of a group."""
         for name, service in self.services.items():
-            if endpoint_mark(name) == news.service:
+            if endpoint_hash(name) == news.service:
                 service.group_told(news, self.clock.now())
 
-    def quota_words(self) -> dict[int, QuotaWord]:
+    def quota_words(self) -> dict[int, QuotaReport]:
         """Return what the other gateways should be told of quotas, by endpoint."""
         now = self.clock.now()
         return {
-            endpoint_mark(endpoint): word
+            endpoint_hash(endpoint): word
             for service in self.services.values()
-            for endpoint, word in service.admission.pool.quota_words(now).items()
+            for endpoint, word in service.admission.pool.quota_reports(now).items()
         }
 
-    def quota_told(self, endpoint: int, word: QuotaWord, by: str) -> None:
+    def quota_told(self, endpoint: int, word: QuotaReport, by: str) -> None:
         """Take in what another gateway was told of the quota of a marked endpoint."""
         for service in self.services.values():
             service.quota_told(endpoint, word, by, self.clock.now())
@@ -358,7 +358,7 @@
     def owes_quotas_to_all(self, told_at: Millis) -> bool:
         """Whether other cells need to hear of a quota that was named here."""
         return self.cell.count > 1 and any(
-            service.admission.pool.quota_heard_since(told_at)
+            service.admission.pool.has_own_quota_report_since(told_at)
             for service in self.services.values()
             if not service.is_divided
         )
@@ -425,7 +425,7 @@
         clock,
         random.Random(),
         EndpointLinks(clock),
-        retry_part=RetryPart(first, settling, clock.now()),
+        retry_part=RetryAllowance(first, settling, clock.now()),
     )
 
 
--- a/tests/core/routing/test_ejection.py
+++ b/tests/core/routing/test_ejection.py
@@ -76,9 +76,9 @@
     Cause: health is learnt from outcomes only.
     """
     for name in names:
-        pool.started(name, "a", 0)
+        pool.record_start(name, "a", 0)
     for name in names[1:]:
-        pool.first_token(name, "a", 500)
+        pool.record_first_token(name, "a", 500)
     assert pool.tick(2_999) == ()
     (ejected,) = pool.tick(3_000)
     assert (ejected.endpoint, ejected.cause) == (names[0], EjectionCause.STUCK)
@@ -88,9 +88,9 @@
     for number in range(12):
         for name in names:
             step = 100 if name == names[0] else 20
-            pool.started(name, str(number), 0)
-            pool.first_token(name, str(number), 50)
-            pool.finished(name, str(number), Answered(11), 50 + 10 * step)
+            pool.record_start(name, str(number), 0)
+            pool.record_first_token(name, str(number), 50)
+            pool.record_end(name, str(number), Answered(11), 50 + 10 * step)
     (ejected,) = pool.tick(2_000)
     assert (ejected.endpoint, ejected.cause) == (names[0], EjectionCause.SLOW)
     assert pool.tick(ejected.until) == ()
@@ -100,9 +100,9 @@
 
 def test_a_busy_endpoint_that_answers_is_not_stuck(pool, names):
     for number in range(10):
-        pool.started(names[0], str(number), 0)
+        pool.record_start(names[0], str(number), 0)
     for number in range(9):
-        pool.first_token(names[0], str(number), number * 1_000)
+        pool.record_first_token(names[0], str(number), number * 1_000)
         assert pool.tick(number * 1_000 + 900) == ()
 
 
@@ -112,10 +112,10 @@
     Sequence: it answers each with an error at once, so it is always idle.
     Cause: the expected wait counts load alone.
     """
-    pool.started(names[0], "a", 0)
-    pool.finished(names[0], "a", Failed(), 1)
+    pool.record_start(names[0], "a", 0)
+    pool.record_end(names[0], "a", Failed(), 1)
     for name in names[1:]:
-        pool.started(name, "b", 2)
+        pool.record_start(name, "b", 2)
     chosen = pool.choose(RouteRequest(), (0.0, 0.5), 2)
     assert isinstance(chosen, Chosen)
     assert chosen.endpoint != names[0]
@@ -127,9 +127,9 @@
     Sequence: it fails once and is avoided, so nothing shows its recovery.
     Cause: a failure rate that only a success can lower.
     """
-    pool.started(names[0], "a", 0)
-    pool.finished(names[0], "a", Failed(), 1)
+    pool.record_start(names[0], "a", 0)
+    pool.record_end(names[0], "a", Failed(), 1)
     for name in names[1:]:
-        pool.started(name, "b", 2)
+        pool.record_start(name, "b", 2)
     chosen = pool.choose(RouteRequest(), (0.0, 0.5), 20_000)
     assert chosen.endpoint == names[0]
--- a/tests/core/routing/test_groups_that_are_down.py
+++ b/tests/core/routing/test_groups_that_are_down.py
@@ -8,23 +8,23 @@
     RouteRequest,
     Unavailable,
 )
-from azurefold.core.routing.peer_loads import endpoint_mark
+from azurefold.core.routing.peer_loads import endpoint_hash
 from azurefold.core.routing.pool import Pool
-from azurefold.core.routing.rank_groups import GroupNews, RankGroups, Standing
+from azurefold.core.routing.rank_groups import GroupStatus, RankGroups, Standing
 
 FIRST, SECOND = ("a0", "a1"), ("b0", "b1")
 ALL = FIRST + SECOND
 
 
 def news_of(group, epoch, standing, ranks):
-    return GroupNews(1, group, epoch, standing, tuple(map(endpoint_mark, ranks)))
+    return GroupStatus(1, group, epoch, standing, tuple(map(endpoint_hash, ranks)))
 
 
 @pytest.fixture
 def groups():
     known = RankGroups()
-    known.told(news_of(11, 1, Standing.RUNS, FIRST), now=0)
-    known.told(news_of(22, 1, Standing.RUNS, SECOND), now=0)
+    known.update(news_of(11, 1, Standing.RUNS, FIRST), now=0)
+    known.update(news_of(22, 1, Standing.RUNS, SECOND), now=0)
     return known
 
 
@@ -34,27 +34,27 @@
     A rank refused because another one was cut off, and that was taken to be true of
     all groups of the service: no retry went to the group that ran.
     """
-    groups.refused("a0", "a1", now=100)
+    groups.record_refusal("a0", "a1", now=100)
     assert [name for name in ALL if groups.is_down(name)] == ["a0", "a1"]
 
 
 def test_all_groups_are_down_when_each_of_them_is(groups):
-    groups.refused("a0", "a1", now=100)
-    groups.refused("b0", "b1", now=300)
+    groups.record_refusal("a0", "a1", now=100)
+    groups.record_refusal("b0", "b1", now=300)
     assert all(groups.is_down(name) for name in ALL)
 
 
 def test_ranks_of_which_nobody_has_told_count_as_one_group():
     groups = RankGroups()
-    groups.refused("a0", "a1", now=100)
+    groups.record_refusal("a0", "a1", now=100)
     assert all(map(groups.is_down, ALL))
 
 
 def test_an_event_of_a_later_request_shows_that_the_group_runs(groups):
-    groups.refused("a0", "a1", now=100)
-    assert not groups.served("a1", sent_at=90, now=120)
+    groups.record_refusal("a0", "a1", now=100)
+    assert not groups.record_event("a1", sent_at=90, now=120)
     assert groups.is_down("a1")
-    assert groups.served("a1", sent_at=110, now=130)
+    assert groups.record_event("a1", sent_at=110, now=130)
     assert not groups.is_down("a0")
 
 
@@ -64,10 +64,10 @@
     The coordinator's reports are some hundred milliseconds old, and said that the
     group runs right after a rank had refused.
     """
-    groups.refused("a0", "a1", now=1_000)
-    groups.told(news_of(11, 1, Standing.RUNS, FIRST), now=1_200)
+    groups.record_refusal("a0", "a1", now=1_000)
+    groups.update(news_of(11, 1, Standing.RUNS, FIRST), now=1_200)
     assert groups.is_down("a0")
-    groups.told(news_of(11, 1, Standing.RUNS, FIRST), now=1_600)
+    groups.update(news_of(11, 1, Standing.RUNS, FIRST), now=1_600)
     assert not groups.is_down("a0")
 
 
@@ -77,22 +77,22 @@
     Requests were served already while the coordinator still told what the ranks had
     reported before the group had formed.
     """
-    groups.refused("a0", "a1", now=1_000)
-    assert groups.served("a1", sent_at=1_500, now=1_700)
-    assert not groups.told(news_of(11, 1, Standing.FORMS, FIRST), now=1_900)
+    groups.record_refusal("a0", "a1", now=1_000)
+    assert groups.record_event("a1", sent_at=1_500, now=1_700)
+    assert not groups.update(news_of(11, 1, Standing.FORMS, FIRST), now=1_900)
     assert not groups.is_down("a0")
-    assert groups.told(news_of(11, 2, Standing.DOWN, FIRST), now=2_000)
+    assert groups.update(news_of(11, 2, Standing.DOWN, FIRST), now=2_000)
 
 
 def test_news_of_a_new_epoch_ends_an_outage_at_once(groups):
-    groups.refused("a0", "a1", now=1_000)
-    groups.told(news_of(11, 2, Standing.RUNS, FIRST), now=1_100)
+    groups.record_refusal("a0", "a1", now=1_000)
+    groups.update(news_of(11, 2, Standing.RUNS, FIRST), now=1_100)
     assert not groups.is_down("a0")
 
 
 def test_news_of_an_old_epoch_changes_nothing(groups):
-    groups.told(news_of(11, 3, Standing.RUNS, FIRST), now=10)
-    assert not groups.told(news_of(11, 2, Standing.DOWN, FIRST), now=20)
+    groups.update(news_of(11, 3, Standing.RUNS, FIRST), now=10)
+    assert not groups.update(news_of(11, 2, Standing.DOWN, FIRST), now=20)
     assert not groups.is_down("a0")
 
 
@@ -101,31 +101,31 @@
 
     Neither the coordinator nor a request could tell that it runs.
     """
-    groups.refused("a0", "a1", now=1_000)
-    assert groups.take_trial(FIRST, now=1_900) is None
-    assert groups.take_trial(FIRST, now=2_000) == "a0"
-    assert groups.take_trial(FIRST, now=2_100) is None
+    groups.record_refusal("a0", "a1", now=1_000)
+    assert groups.take_probe(FIRST, now=1_900) is None
+    assert groups.take_probe(FIRST, now=2_000) == "a0"
+    assert groups.take_probe(FIRST, now=2_100) is None
 
 
 def test_a_group_that_the_coordinator_sees_down_is_not_tried(groups):
     for now in range(1_000, 4_000, 500):
-        groups.told(news_of(11, 1, Standing.DOWN, FIRST), now)
-        assert groups.take_trial(FIRST, now) is None
+        groups.update(news_of(11, 1, Standing.DOWN, FIRST), now)
+        assert groups.take_probe(FIRST, now) is None
 
 
 def test_it_is_known_since_when_a_group_forms(groups):
-    groups.told(news_of(11, 1, Standing.DOWN, FIRST), now=100)
-    assert groups.forms_since(ALL) is None
-    groups.told(news_of(11, 1, Standing.FORMS, FIRST), now=400)
-    groups.told(news_of(11, 1, Standing.FORMS, FIRST), now=700)
-    assert groups.forms_since(ALL) == 400
-    groups.told(news_of(11, 2, Standing.RUNS, FIRST), now=900)
-    assert groups.forms_since(ALL) is None
+    groups.update(news_of(11, 1, Standing.DOWN, FIRST), now=100)
+    assert groups.forming_since(ALL) is None
+    groups.update(news_of(11, 1, Standing.FORMS, FIRST), now=400)
+    groups.update(news_of(11, 1, Standing.FORMS, FIRST), now=700)
+    assert groups.forming_since(ALL) == 400
+    groups.update(news_of(11, 2, Standing.RUNS, FIRST), now=900)
+    assert groups.forming_since(ALL) is None
 
 
 def test_a_rank_is_in_the_group_that_was_told_last(groups):
-    groups.told(news_of(22, 2, Standing.RUNS, (*SECOND, "a0")), now=10)
-    groups.refused("b0", "b1", now=20)
+    groups.update(news_of(22, 2, Standing.RUNS, (*SECOND, "a0")), now=10)
+    groups.record_refusal("b0", "b1", now=20)
     assert groups.is_down("a0")
     assert not groups.is_down("a1")
 
@@ -157,15 +157,15 @@
     out. In a data centre that was cut off, where no coordinator told of it, callers
     were sent back after a second each time, and refused again.
     """
-    assert not groups.refused_with_room("a0", now=1_000)
-    assert groups.is_doubted("a1")
-    assert groups.refused_with_room("a1", now=1_100)
+    assert not groups.record_refusal_with_room("a0", now=1_000)
+    assert groups.is_suspected("a1")
+    assert groups.record_refusal_with_room("a1", now=1_100)
     assert groups.is_down("a0")
     assert not groups.is_down("b0")
 
 
 @pytest.mark.parametrize(("rank", "now"), [("a0", 1_100), ("a1", 1_700)])
 def test_one_rank_that_refuses_with_room_is_not_its_group(groups, rank, now):
-    groups.refused_with_room("a0", now=1_000)
-    assert not groups.refused_with_room(rank, now)
+    groups.record_refusal_with_room("a0", now=1_000)
+    assert not groups.record_refusal_with_room(rank, now)
     assert not groups.is_down("a0")
--- a/tests/core/routing/test_loads_are_exchanged.py
+++ b/tests/core/routing/test_loads_are_exchanged.py
@@ -10,7 +10,7 @@
     Refused,
     RouteRequest,
 )
-from azurefold.core.routing.peer_loads import LoadDigest, PeerLoads, endpoint_mark
+from azurefold.core.routing.peer_loads import LoadDigest, PeerLoads, endpoint_hash
 from azurefold.core.routing.policy import PoolPolicy
 from azurefold.core.routing.pool import Pool
 
@@ -29,7 +29,7 @@
     request = RouteRequest(exclude=exclude)
     chosen = pool.choose(request, (draw, draw), now)
     if isinstance(chosen, Chosen):
-        pool.started(chosen.endpoint, attempt, now)
+        pool.record_start(chosen.endpoint, attempt, now)
         return chosen.endpoint
     return None
 
@@ -40,9 +40,9 @@
 
 
 def test_others_requests_count_like_own_ones(pool):
-    pool.load_reported("a", LoadReport(3, 0), now=0)
-    pool.load_reported("b", LoadReport(1, 0), now=0)
-    pool.load_reported("c", LoadReport(0, 0), now=0)
+    pool.record_load("a", LoadReport(3, 0), now=0)
+    pool.record_load("b", LoadReport(1, 0), now=0)
+    pool.record_load("c", LoadReport(0, 0), now=0)
     taken = [take(pool, f"r{number}") for number in range(3)]
     assert taken[0] == "c"
     assert sorted(taken) == ["b", "c", "c"]
@@ -50,18 +50,18 @@
 
 def test_a_full_endpoint_gets_no_more(pool):
     for name in "abc":
-        pool.load_reported(name, LoadReport(SLOTS + 1, 0), now=0)
+        pool.record_load(name, LoadReport(SLOTS + 1, 0), now=0)
     assert take(pool, "r") is None
 
 
 def test_an_endpoint_that_refused_is_taken_for_full_until_the_next_report(pool):
-    pool.load_reported("a", LoadReport(0, 0), now=0)
-    pool.load_reported("b", LoadReport(1, 0), now=0)
-    pool.load_reported("c", LoadReport(1, 0), now=0)
+    pool.record_load("a", LoadReport(0, 0), now=0)
+    pool.record_load("b", LoadReport(1, 0), now=0)
+    pool.record_load("c", LoadReport(1, 0), now=0)
     assert take(pool, "r1") == "a"
-    pool.finished("a", "r1", Refused(), now=5)
+    pool.record_end("a", "r1", Refused(), now=5)
     assert take(pool, "r2", now=6) != "a"
-    pool.load_reported("a", LoadReport(0, 0), now=100)
+    pool.record_load("a", LoadReport(0, 0), now=100)
     assert take(pool, "r3", now=101) == "a"
 
 
@@ -75,38 +75,42 @@
     for number in range(3 * (SLOTS + 1)):
         assert take(pool, f"r{number}") is not None
     assert take(pool, "late") is None
-    pool.finished("b", "r1", Answered(3), now=50)
+    pool.record_end("b", "r1", Answered(3), now=50)
     assert pool.loads["b"] == SLOTS
     assert take(pool, "next", now=60) == "b"
 
 
 def digest(node, sequence, loads, incarnation=1):
-    marks = {endpoint_mark(name): load for name, load in loads.items()}
+    marks = {endpoint_hash(name): load for name, load in loads.items()}
     return LoadDigest(node, incarnation, sequence, marks)
 
 
 def test_sums_follow_the_last_digest_of_each_node():
     loads = PeerLoads()
-    loads.hear(digest("n1", 1, {"a": 2, "b": 1}), now=0)
-    loads.hear(digest("n2", 1, {"a": 3}), now=0)
-    loads.hear(digest("n1", 2, {"b": 4}), now=10)
-    assert (loads.of("a"), loads.of("b"), loads.of("c")) == (3, 4, 0)
+    loads.receive(digest("n1", 1, {"a": 2, "b": 1}), now=0)
+    loads.receive(digest("n2", 1, {"a": 3}), now=0)
+    loads.receive(digest("n1", 2, {"b": 4}), now=10)
+    assert (loads.requests_at("a"), loads.requests_at("b"), loads.requests_at("c")) == (
+        3,
+        4,
+        0,
+    )
 
 
 def test_a_digest_that_was_overtaken_is_dropped():
     loads = PeerLoads()
-    assert loads.hear(digest("n1", 2, {"a": 1}), now=0)
-    assert not loads.hear(digest("n1", 1, {"a": 9}), now=1)
-    assert loads.of("a") == 1
-    assert loads.hear(digest("n1", 1, {"a": 2}, incarnation=2), now=2)
-    assert loads.of("a") == 2
+    assert loads.receive(digest("n1", 2, {"a": 1}), now=0)
+    assert not loads.receive(digest("n1", 1, {"a": 9}), now=1)
+    assert loads.requests_at("a") == 1
+    assert loads.receive(digest("n1", 1, {"a": 2}, incarnation=2), now=2)
+    assert loads.requests_at("a") == 2
 
 
 def test_a_silent_node_counts_no_longer():
     """An endpoint stays full in the eyes of all for requests of a dead node."""
     loads = PeerLoads()
-    loads.hear(digest("n1", 1, {"a": 5}), now=0)
-    loads.hear(digest("n2", 1, {"a": 1}), now=1_000)
+    loads.receive(digest("n1", 1, {"a": 5}), now=0)
+    loads.receive(digest("n2", 1, {"a": 1}), now=1_000)
     assert loads.expire(now=1_500) == ["n1"]
-    assert loads.of("a") == 1
+    assert loads.requests_at("a") == 1
     assert loads.nodes == {"n2"}
--- a/tests/core/routing/test_passes_stay_short.py
+++ b/tests/core/routing/test_passes_stay_short.py
@@ -25,7 +25,7 @@
         length = pass_ms(requests, skew)
         now += round(length)
         limit.observe(round(length), requests, now)
-        requests = min(wanted, limit.requests_of_a_rank(PROMISED_MS, SLOTS))
+        requests = min(wanted, limit.max_requests_per_rank(PROMISED_MS, SLOTS))
     return requests, pass_ms(requests, skew)
 
 
@@ -54,9 +54,9 @@
         now += length
         for number, limit in enumerate(limits):
             limit.observe(length, requests[number], now)
-            limit.told(mean, now)
+            limit.record_group_mean(mean, now)
         requests = [
-            limit.requests_of_a_rank(PROMISED_MS, SLOTS, now) for limit in limits
+            limit.max_requests_per_rank(PROMISED_MS, SLOTS, now) for limit in limits
         ]
     assert max(requests) - min(requests) <= 0.1 * mean
     assert pass_ms(mean, skew=2.2) <= 0.75 * PROMISED_MS
@@ -65,10 +65,10 @@
 def test_without_a_coordinator_a_cell_goes_by_its_own_requests():
     limit = PassLimit(FIXED_MS)
     limit.observe(100, requests=4.0, now=1_000)
-    alone = limit.requests_of_a_rank(PROMISED_MS, SLOTS, now=1_000)
-    limit.told(2.0, now=1_000)
-    assert limit.requests_of_a_rank(PROMISED_MS, SLOTS, now=1_100) < alone
-    assert limit.requests_of_a_rank(PROMISED_MS, SLOTS, now=9_000) == alone
+    alone = limit.max_requests_per_rank(PROMISED_MS, SLOTS, now=1_000)
+    limit.record_group_mean(2.0, now=1_000)
+    assert limit.max_requests_per_rank(PROMISED_MS, SLOTS, now=1_100) < alone
+    assert limit.max_requests_per_rank(PROMISED_MS, SLOTS, now=9_000) == alone
 
 
 def test_short_passes_leave_all_slots():
@@ -76,19 +76,19 @@
     assert requests == 3
     limit = PassLimit(FIXED_MS)
     limit.observe(40, requests=3.0, now=1_000)
-    assert limit.requests_of_a_rank(PROMISED_MS, SLOTS) == SLOTS
+    assert limit.max_requests_per_rank(PROMISED_MS, SLOTS) == SLOTS
 
 
 def test_without_a_promise_nothing_is_limited():
     limit = PassLimit()
     limit.observe(400, requests=6.0, now=1_000)
-    assert limit.requests_of_a_rank(0, SLOTS) == SLOTS
+    assert limit.max_requests_per_rank(0, SLOTS) == SLOTS
 
 
 def test_at_least_one_request_goes_to_each_rank():
     limit = PassLimit()
     limit.observe(5_000, requests=6.0, now=1_000)
-    assert limit.requests_of_a_rank(PROMISED_MS, SLOTS) == 1.0
+    assert limit.max_requests_per_rank(PROMISED_MS, SLOTS) == 1.0
 
 
 @pytest.fixture
@@ -102,14 +102,14 @@
 def test_a_limit_counts_the_requests_of_all_nodes(pool):
     pool.limit_requests(pool.endpoints, mean=2.5)
     assert pool.room == 10
-    pool.load_reported("a", LoadReport(2, 0), now=0)
+    pool.record_load("a", LoadReport(2, 0), now=0)
     assert pool.room == 8
     assert pool.mean_running(pool.endpoints) == 0.5
 
 
 def test_what_waits_at_a_full_endpoint_does_not_count(pool):
     """Guards against limits that rise with requests which run nowhere."""
-    pool.load_reported("a", LoadReport(3 * SLOTS, 0), now=0)
+    pool.record_load("a", LoadReport(3 * SLOTS, 0), now=0)
     assert pool.mean_running(["a"]) == SLOTS
 
 
@@ -125,7 +125,7 @@
     One endpoint after the other had to fail three times before it was left out.
     """
     for name in ("a", "b", "c"):
-        pool.lost_reach(name, now=1_000)
+        pool.mark_unreachable(name, now=1_000)
     chosen = [pool.choose(RouteRequest(), (n / 4, 0.5), now=1_100) for n in range(4)]
     assert {one.endpoint for one in chosen} == {"d"}
     later = [pool.choose(RouteRequest(), (n / 4, 0.5), now=2_100) for n in range(4)]
@@ -133,9 +133,9 @@
 
 
 def test_a_group_that_is_doubted_gets_what_others_have_no_room_for(pool):
-    pool.set_doubted(frozenset(("a", "b")))
+    pool.set_suspected(frozenset(("a", "b")))
     for n in range(2 * (SLOTS + 1)):
         chosen = pool.choose(RouteRequest(), (0.1, 0.5), now=0)
         assert chosen.endpoint in ("c", "d")
-        pool.started(chosen.endpoint, f"r{n}", now=0)
+        pool.record_start(chosen.endpoint, f"r{n}", now=0)
     assert pool.choose(RouteRequest(), (0.1, 0.5), now=0).endpoint in ("a", "b")
--- a/tests/core/routing/test_pool_never_chooses_wrongly.py
+++ b/tests/core/routing/test_pool_never_chooses_wrongly.py
@@ -92,7 +92,7 @@
         assert in_flight < self.pool.limit(name)
         self.count += 1
         self.attempts[str(self.count)] = name
-        self.pool.started(name, str(self.count), self.now, request)
+        self.pool.record_start(name, str(self.count), self.now, request)
 
     @precondition(lambda self: self.attempts)
     @rule(data=st.data(), outcome=outcomes, began=st.booleans())
@@ -100,14 +100,14 @@
         attempt_id = data.draw(st.sampled_from(sorted(self.attempts)))
         name = self.attempts.pop(attempt_id)
         if began:
-            self.pool.first_token(name, attempt_id, self.now)
-        self.pool.finished(name, attempt_id, outcome, self.now)
+            self.pool.record_first_token(name, attempt_id, self.now)
+        self.pool.record_end(name, attempt_id, outcome, self.now)
         # A doubled message must not be counted twice.
-        self.pool.finished(name, attempt_id, outcome, self.now)
+        self.pool.record_end(name, attempt_id, outcome, self.now)
 
     @rule(endpoint=names, load=st.integers(0, 60), age=st.integers(0, 5_000))
     def report(self, endpoint, load, age):
-        self.pool.load_reported(endpoint, LoadReport(load, 16, age), self.now)
+        self.pool.record_load(endpoint, LoadReport(load, 16, age), self.now)
 
     @invariant()
     def counts_each_attempt_once(self):
--- a/tests/core/routing/test_pool_prefers_the_least_wait.py
+++ b/tests/core/routing/test_pool_prefers_the_least_wait.py
@@ -29,7 +29,7 @@
 
 def occupy(pool, endpoint, count, now=0):
     for number in range(count):
-        pool.started(endpoint, f"{endpoint}/{number}", now)
+        pool.record_start(endpoint, f"{endpoint}/{number}", now)
 
 
 def test_own_attempts_repel_at_once(pool, names):
@@ -39,7 +39,7 @@
 
 def test_a_report_of_others_repels(pool, names):
     for name in names:
-        pool.load_reported(name, LoadReport(30 if name == names[0] else 0, 16), 0)
+        pool.record_load(name, LoadReport(30 if name == names[0] else 0, 16), 0)
     assert choices(pool, 0)[names[0]] == 0
 
 
@@ -52,15 +52,15 @@
     two = Pool()
     two.set_endpoints(names[:2], 0)
     occupy(two, names[0], 10, now=1_000)
-    two.load_reported(names[0], LoadReport(10, 16, age=1_500), 3_000)
+    two.record_load(names[0], LoadReport(10, 16, age=1_500), 3_000)
     occupy(two, names[1], 11, now=3_000)
-    two.load_reported(names[1], LoadReport(11, 16), 3_000)
+    two.record_load(names[1], LoadReport(11, 16), 3_000)
     assert choices(two, 3_000)[names[0]] == 400
 
 
 def test_an_overtaken_report_changes_nothing(pool, names):
-    pool.load_reported(names[0], LoadReport(0, 16, age=0), 2_000)
-    pool.load_reported(names[0], LoadReport(40, 16, age=1_500), 2_001)
+    pool.record_load(names[0], LoadReport(0, 16, age=0), 2_000)
+    pool.record_load(names[0], LoadReport(40, 16, age=1_500), 2_001)
     assert choices(pool, 2_001)[names[0]] > 0
 
 
@@ -71,7 +71,7 @@
     stop. Cause: the old figure is believed for ever.
     """
     for name in names:
-        pool.load_reported(name, LoadReport(0 if name == names[0] else 24, 16), 0)
+        pool.record_load(name, LoadReport(0 if name == names[0] else 24, 16), 0)
     fresh = choices(pool, 0)[names[0]]
     occupy(pool, names[0], 2, now=60_000)
     assert fresh > 40
@@ -83,9 +83,9 @@
     for number in range(40):
         for name in names:
             step = 60 if name == names[0] else 20
-            pool.started(name, str(number), now)
-            pool.first_token(name, str(number), now + 50)
-            pool.finished(name, str(number), Answered(11), now + 50 + 10 * step)
+            pool.record_start(name, str(number), now)
+            pool.record_first_token(name, str(number), now + 50)
+            pool.record_end(name, str(number), Answered(11), now + 50 + 10 * step)
         now += 1_000
     assert choices(pool, now)[names[0]] == 0
 
@@ -100,9 +100,9 @@
 
 def test_an_answer_teaches_which_endpoint_holds_its_prefix(pool, names):
     request = RouteRequest((Prefix(9, 800),), 1_000)
-    pool.started(names[5], "a", 0, request)
-    pool.first_token(names[5], "a", 90)
-    pool.finished(names[5], "a", Answered(10), 200)
+    pool.record_start(names[5], "a", 0, request)
+    pool.record_first_token(names[5], "a", 90)
+    pool.record_end(names[5], "a", Answered(10), 200)
     assert pool.choose(request, (0.0, 0.1), 300) == Chosen(names[5], 800)
 
 
--- a/tests/core/routing/test_quotas_of_endpoints.py
+++ b/tests/core/routing/test_quotas_of_endpoints.py
@@ -10,7 +10,7 @@
 from azurefold.core.routing.messages import NoneAvailable, RouteRequest, Unavailable
 from azurefold.core.routing.pool import Pool
 from azurefold.core.routing.quota_sharers import QuotaSharers
-from azurefold.core.routing.quotas import EndpointQuotas, QuotaWord
+from azurefold.core.routing.quotas import EndpointQuotas, QuotaReport
 from azurefold_standins.quota_allowance import Need, quota_excesses
 
 NEEDY = "rank-1"
@@ -123,8 +123,8 @@
 
 def test_an_older_word_changes_nothing():
     known = EndpointQuotas()
-    known.told(NEEDY, QuotaWord(2.0, 5_000), 5_000)
-    assert not known.told(NEEDY, QuotaWord(None, 4_000), 5_100)
+    known.told(NEEDY, QuotaReport(2.0, 5_000), 5_000)
+    assert not known.told(NEEDY, QuotaReport(None, 4_000), 5_100)
     assert known.parts[NEEDY].quota == 2.0
 
 
@@ -160,7 +160,7 @@
     """Requests waited for an endpoint that may get none, until their deadlines."""
     pool = Pool()
     pool.set_endpoints([NEEDY], 0)
-    pool.quota_answered(NEEDY, 0.5, 0, 0)
+    pool.record_quota_answer(NEEDY, 0.5, 0, 0)
     chosen = pool.choose(request=RouteRequest(), draws=(0.0, 0.5), now=100)
     assert isinstance(chosen, NoneAvailable)
     assert chosen.reason is Unavailable.OVER_QUOTA
@@ -175,7 +175,7 @@
     """
     pool = Pool()
     pool.set_endpoints([NEEDY], 0)
-    pool.quota_answered(NEEDY, 0.5, 0, 0)
+    pool.record_quota_answer(NEEDY, 0.5, 0, 0)
     pool.set_endpoints([], 1_000)
     pool.set_endpoints([NEEDY], 2_000)
     assert pool.over_quota == {NEEDY}
@@ -184,7 +184,7 @@
 def test_an_endpoint_that_started_anew_has_no_quota():
     pool = Pool()
     pool.set_endpoints([NEEDY], 0)
-    pool.quota_answered(NEEDY, 0.5, 0, 0)
+    pool.record_quota_answer(NEEDY, 0.5, 0, 0)
     pool.forget(NEEDY, 1_000)
     pool.set_endpoints([NEEDY], 2_000)
     assert not pool.over_quota
--- a/tests/core/routing/test_slots_of_endpoints.py
+++ b/tests/core/routing/test_slots_of_endpoints.py
@@ -14,7 +14,7 @@
         if not pool.room:
             return number
         chosen = pool.choose(RouteRequest(), DRAWS, 0)
-        pool.started(chosen.endpoint, str(number), 0)
+        pool.record_start(chosen.endpoint, str(number), 0)
     return most
 
 
@@ -32,19 +32,19 @@
     # the engines were idle. Sequence: an agent's first answer told how many
     # attempts run there and nothing of slots. Cause: the missing number was
     # taken for none, and each node kept to one request an endpoint.
-    pool.load_reported("a", LoadReport(in_flight=1, slots=0), 0)
+    pool.record_load("a", LoadReport(in_flight=1, slots=0), 0)
     assert filled(pool) == 40
 
 
 def test_a_reported_number_of_slots_counts(pool):
-    pool.load_reported("a", LoadReport(in_flight=0, slots=8), 0)
+    pool.record_load("a", LoadReport(in_flight=0, slots=8), 0)
     assert filled(pool) == 8
 
 
 @pytest.mark.parametrize("nodes", [1, 2, 4])
 def test_nodes_share_what_operators_allow(pool, nodes):
     pool.set_nodes(nodes)
-    pool.load_reported("a", LoadReport(in_flight=40, slots=0), 0)
+    pool.record_load("a", LoadReport(in_flight=40, slots=0), 0)
     assert filled(pool) == 40 // nodes
 
 
--- a/tests/core/routing/test_what_broke_off_may_queue.py
+++ b/tests/core/routing/test_what_broke_off_may_queue.py
@@ -17,9 +17,9 @@
     pool.set_endpoints(["a", "b"], now=0)
     pool.set_slots(2)
     for number in range(2):
-        pool.started("a", f"a{number}", now=0)
+        pool.record_start("a", f"a{number}", now=0)
     for number in range(3):
-        pool.started("b", f"b{number}", now=0)
+        pool.record_start("b", f"b{number}", now=0)
     return pool
 
 
--- a/tests/entry/test_admission_keeps_room_for_confirmations.py
+++ b/tests/entry/test_admission_keeps_room_for_confirmations.py
@@ -102,7 +102,7 @@
     admission = admission_of(time, slots=4)
     admission.pool.set_endpoints(["a", "b", "c"], time.now)
     for number in range(10):
-        admission.pool.started("a", str(number), time.now)
+        admission.pool.record_start("a", str(number), time.now)
         admission.finished("a", str(number), Failed())
     while admission.try_retry():
         pass
--- a/tests/entry/test_bad_input_costs_little.py
+++ b/tests/entry/test_bad_input_costs_little.py
@@ -101,7 +101,7 @@
     # were counted.
     service = state.services.find("lookups")
     service.admission.pool.set_slots(1)
-    service.admission.pool.started("a", "other", 0)
+    service.admission.pool.record_start("a", "other", 0)
     sock = connect()
     sock.sendall((HEAD.format(path="/services/lookups")).encode())
     sock.sendall(b"Content-Length: 2\r\n\r\n{}")
--- a/tests/gateway/quota_world.py
+++ b/tests/gateway/quota_world.py
@@ -18,7 +18,7 @@
     Cancelled,
     Chosen,
 )
-from azurefold.core.routing.quotas import QuotaWord
+from azurefold.core.routing.quotas import QuotaReport
 from azurefold.entry.admission import Ticket
 from azurefold.gateway.peers.exchange import Exchange, Peer, _decode, new_exchange
 from azurefold.gateway.peers.messages import Coordination
@@ -227,7 +227,7 @@
         def on_message(message):
             for beat in message.quotas:
                 sent = sent_at(message, self.time.at, state.store_now)
-                word = QuotaWord(beat.rate, sent - beat.age)
+                word = QuotaReport(beat.rate, sent - beat.age)
                 state.quota_told(beat.endpoint, word, message.node)
 
         exchange = new_exchange(state, self.time.at, on_message, Coordination)
@@ -286,7 +286,7 @@
         def end():
             self.requests_of_ranks[endpoint] -= 1
             outcome = Answered() if gateway.cut_until < self.time.at else Cancelled()
-            gateway.pool.finished(endpoint, number, outcome, self.time.at)
+            gateway.pool.record_end(endpoint, number, outcome, self.time.at)
 
         for after, event in ((HEAD_AFTER_MS, answer), (self.ends_after_ms, end)):
             heappush(self._events, (sent_at + after, next(self._numbers), event))
--- a/tests/gateway/test_answers_name_quotas.py
+++ b/tests/gateway/test_answers_name_quotas.py
@@ -89,7 +89,7 @@
         for _ in range(5):
             service.quota_answered("e0", head, 0, 100)
     assert caplog.text.count("quota_unreadable") == 1
-    assert not service.admission.pool.quota_parts
+    assert not service.admission.pool.quota_shares
 
 
 def test_a_refusal_without_a_quota_ends_none(relay):
@@ -99,7 +99,7 @@
     """
     again(relay)
     pool = relay.service.admission.pool
-    (needy,) = pool.quota_parts
+    (needy,) = pool.quota_shares
     refusal = read_answer(503, [("Not-Executed", "1")])
     relay.service.quota_answered(needy, refusal, 10**9, 10**9)
-    assert needy in pool.quota_parts
+    assert needy in pool.quota_shares
--- a/tests/gateway/test_cells_that_are_dealt_anew.py
+++ b/tests/gateway/test_cells_that_are_dealt_anew.py
@@ -65,7 +65,7 @@
     cell = cell_of("n0", [f"n{number}" for number in range(nodes)])
     draw = random.Random(nodes)
     names = [f"i-{draw.getrandbits(40):010x}" for _ in range(endpoints)]
-    before, after = cell.deal(names), cell.deal(names[1:])
+    before, after = cell.assign_endpoints(names), cell.assign_endpoints(names[1:])
     moved = [name for name in after if after[name] != before[name]]
     assert len(moved) <= cell.count
 
--- a/tests/gateway/test_endpoints_that_announce_their_departure.py
+++ b/tests/gateway/test_endpoints_that_announce_their_departure.py
@@ -113,10 +113,10 @@
     pool = relay.service.admission.pool
     candidates = set()
 
-    def take_trial(groups, endpoints, now):
+    def take_probe(groups, endpoints, now):
         candidates.update(endpoints)
 
-    monkeypatch.setattr(RankGroups, "take_trial", take_trial)
+    monkeypatch.setattr(RankGroups, "take_probe", take_probe)
     relay.service.record_leaving(LEAVING_ENDPOINT, "a1", leaving_answer("1"), 1_000)
     pool.set_paused(frozenset(pool.endpoints))
     send_request(relay)
--- a/tests/gateway/test_endpoints_that_ask_for_a_pause.py
+++ b/tests/gateway/test_endpoints_that_ask_for_a_pause.py
@@ -188,7 +188,7 @@
     send_request(relay)
     send_request(relay)
     endpoints.arrivals.clear()
-    service.groups.refused("e0", "e1", time.at)
+    service.groups.record_refusal("e0", "e1", time.at)
     service._pause_groups("test")
 
     def take(links, endpoint, address, *, fresh):
@@ -225,7 +225,7 @@
     pool = admission.pool
     for name in pool.endpoints:
         for number in range(8):
-            pool.started(name, f"{name}-{number}", time.at)
+            pool.record_start(name, f"{name}-{number}", time.at)
     waiting = gevent.spawn(send_request, relay)
     gevent.sleep(0)
     assert admission.waiting == 1
@@ -246,7 +246,7 @@
     pool = service.admission.pool
     pool.set_paused(frozenset({"e1", "e2"}))
     for number in range(8):
-        pool.started("e0", f"a{number}", time.at)
+        pool.record_start("e0", f"a{number}", time.at)
     waiting = gevent.spawn(send_request, relay)
     gevent.sleep(0)
     service.record_backoff("e0", "a0", read_answer(503, endpoints.headers), time.at)
--- a/tests/gateway/test_endpoints_that_refuse_everything.py
+++ b/tests/gateway/test_endpoints_that_refuse_everything.py
@@ -53,7 +53,7 @@
     pool = relay.service.admission.pool
     for endpoint in pool.endpoints:
         report = LoadReport(pool.load_of(endpoint), 0)
-        pool.load_reported(endpoint, report, relay.state.clock.now())
+        pool.record_load(endpoint, report, relay.state.clock.now())
 
 
 def test_it_is_left_out_for_longer_and_longer(relay, endpoint_script, time):
--- a/tests/gateway/test_leaving_endpoints_stay_out.py
+++ b/tests/gateway/test_leaving_endpoints_stay_out.py
@@ -15,9 +15,9 @@
 from azurefold.core.membership.registry import EndpointEntry, EndpointRegistry
 from azurefold.core.routing.cells import cell_of
 from azurefold.core.routing.messages import Failed, Misdirected
-from azurefold.core.routing.peer_loads import endpoint_mark
+from azurefold.core.routing.peer_loads import endpoint_hash
 from azurefold.core.routing.quota_sharers import QuotaSharers
-from azurefold.core.routing.rank_groups import GroupNews, Standing
+from azurefold.core.routing.rank_groups import GroupStatus, Standing
 from azurefold.entry.admission import Ticket
 from azurefold.gateway.state import new_gateway_state
 from azurefold.gateway.store.news import new_news
@@ -332,11 +332,11 @@
                 service.lost_reach(name, now)
             case "failing":
                 for number in range(3):
-                    pool.started(name, f"{name}-{now}-{number}", now)
-                    pool.finished(name, f"{name}-{now}-{number}", Failed(), now)
+                    pool.record_start(name, f"{name}-{now}-{number}", now)
+                    pool.record_end(name, f"{name}-{now}-{number}", Failed(), now)
             case "misdirected":
-                pool.started(name, f"{name}-{now}", now)
-                pool.finished(name, f"{name}-{now}", Misdirected(), now)
+                pool.record_start(name, f"{name}-{now}", now)
+                pool.record_end(name, f"{name}-{now}", Misdirected(), now)
             case "pause":
                 pool.back_off(name, now + 1_500, now)
             case "announced":
@@ -344,7 +344,7 @@
             case "quota":
                 nodes = frozenset({"gateway-1", "gateway-2"})
                 pool.share_quotas(QuotaSharers("gateway-1", nodes), now)
-                pool.quota_answered(name, 1.0, now, now)
+                pool.record_quota_answer(name, 1.0, now, now)
             case "refused":
                 service.rank_refused(name, "", now)
             case "refused by all":
@@ -355,12 +355,12 @@
             case "slow passes":
                 service.event_gap(name, 400, now)
             case "in flight":
-                pool.started(name, f"{name}-kept-{now}", now)
+                pool.record_start(name, f"{name}-kept-{now}", now)
             case "down" | "runs":
                 standing = Standing.DOWN if how == "down" else Standing.RUNS
-                marks = tuple(endpoint_mark(each) for each in service.entries)
-                group = endpoint_mark(service.view.name)
-                self.state.group_told(GroupNews(group, 7, 1, standing, marks))
+                marks = tuple(endpoint_hash(each) for each in service.entries)
+                group = endpoint_hash(service.view.name)
+                self.state.group_told(GroupStatus(group, 7, 1, standing, marks))
 
     def cell(self, nodes):
         names = ["gateway-1", *(f"gateway-{n + 2}" for n in range(nodes - 1))]
--- a/tests/gateway/test_messages_fit_at_any_size.py
+++ b/tests/gateway/test_messages_fit_at_any_size.py
@@ -7,9 +7,9 @@
 from tests.gateway.conftest import settings_of
 
 from azurefold.core.clock import manual_clock
-from azurefold.core.routing.peer_loads import endpoint_mark
-from azurefold.core.routing.quotas import QuotaWord
-from azurefold.core.routing.rank_groups import GroupNews, RankGroups, Standing
+from azurefold.core.routing.peer_loads import endpoint_hash
+from azurefold.core.routing.quotas import QuotaReport
+from azurefold.core.routing.rank_groups import GroupStatus, RankGroups, Standing
 from azurefold.gateway.peers import exchange as exchange_module
 from azurefold.gateway.peers import portions
 from azurefold.gateway.peers.exchange import Peer, new_exchange
@@ -38,13 +38,13 @@
 
 
 def marks(group, ranks):
-    return tuple(endpoint_mark(f"rank-{group}-{rank}") for rank in range(ranks))
+    return tuple(endpoint_hash(f"rank-{group}-{rank}") for rank in range(ranks))
 
 
 def coordination_of(ranks, groups, epoch=1, standing=Standing.RUNS):
     each = ranks // groups
     news = tuple(
-        GroupNews(7, group + 1, epoch, standing, marks(group, each))
+        GroupStatus(7, group + 1, epoch, standing, marks(group, each))
         for group in range(groups)
     )
     return Coordination(term=2**40, groups=news)
@@ -96,9 +96,9 @@
     for known in (state.configuration_freshness, state.endpoints_freshness):
         known.read_whole(era=1_000, version=10**9, store_ms=10**12)
     state.store_time.observe(10**12, time.at, time.at)
-    loads = {endpoint_mark(f"busy-{n}"): 9 for n in range(ranks)}
+    loads = {endpoint_hash(f"busy-{n}"): 9 for n in range(ranks)}
     words = {
-        endpoint_mark(f"busy-{n}"): QuotaWord(0.123456789, time.at) for n in range(40)
+        endpoint_hash(f"busy-{n}"): QuotaReport(0.123456789, time.at) for n in range(40)
     }
     monkeypatch.setattr(exchange_module.Exchange, "_own_loads", lambda self: loads)
     monkeypatch.setattr(
@@ -115,10 +115,10 @@
     receiver = RankGroups()
     for message in decoded(messages):
         for beat in message.groups:
-            news = GroupNews(
+            news = GroupStatus(
                 beat.service, beat.group, beat.epoch, beat.standing, beat.ranks
             )
-            receiver.told(news, time.at)
+            receiver.update(news, time.at)
     for group in range(groups):
         for rank in range(ranks // groups):
             assert receiver.group_of(f"rank-{group}-{rank}") == group + 1
--- a/tests/gateway/test_news_is_put_in_force.py
+++ b/tests/gateway/test_news_is_put_in_force.py
@@ -470,14 +470,14 @@
     news.configuration.on_rows((config_row(7, 1),))
     news.endpoints.on_rows((entry_row("e1", 2, born=1_000),))
     pool = state.services["desk"].admission.pool
-    pool.started("e1", "r1", time.at)
+    pool.record_start("e1", "r1", time.at)
     severed = []
     monkeypatch.setattr(EndpointLinks, "sever", lambda _, name: severed.append(name))
     news.endpoints.on_changes((entry_row("e1", 3, born=2_000),))
     assert severed == ["e1"]
     assert pool.in_flight == 0
     assert set(pool.endpoints) == {"e1"}
-    assert pool.finished("e1", "r1", Failed(), time.at) is None
+    assert pool.record_end("e1", "r1", Failed(), time.at) is None
 
 
 def test_an_entry_of_a_former_start_changes_nothing(news, state):
@@ -492,7 +492,7 @@
     news.configuration.on_rows((config_row(7, 1),))
     news.endpoints.on_rows((entry_row("e1", 2, born=2_000),))
     pool = state.services["desk"].admission.pool
-    pool.started("e1", "r1", 0)
+    pool.record_start("e1", "r1", 0)
     news.endpoints.on_changes((entry_row("e1", 3, born=2_000, SeqNo=4),))
     assert pool.in_flight == 1
 
--- a/tests/gateway/test_places_that_fall_free.py
+++ b/tests/gateway/test_places_that_fall_free.py
@@ -89,11 +89,11 @@
 def test_room_that_all_nodes_see_is_taken_in_parts(admission, time):
     """Guards against ten nodes that fill ten places each, of ten that are free."""
     for name in ("a", "b"):
-        admission.pool.load_reported(name, LoadReport(2, 0), time.at)
+        admission.pool.record_load(name, LoadReport(2, 0), time.at)
     calls = calls_of(admission, [f"w{n}" for n in range(4)], time)
     admission.contenders = 10
     for name in ("a", "b"):
-        admission.pool.load_reported(name, LoadReport(0, 0), time.at)
+        admission.pool.record_load(name, LoadReport(0, 0), time.at)
     for _ in range(10):
         admission.pump()
     gevent.sleep(0)
--- a/tests/gateway/test_quotas_of_endpoints_hold.py
+++ b/tests/gateway/test_quotas_of_endpoints_hold.py
@@ -36,7 +36,7 @@
 
 
 def holders_of(site, endpoint):
-    parts = {name: each.pool.quota_parts for name, each in site.by_name.items()}
+    parts = {name: each.pool.quota_shares for name, each in site.by_name.items()}
     return [name for name, part in parts.items() if part[endpoint].rate > 0]
 
 
@@ -75,7 +75,7 @@
     site.needs_help(NEEDY, 0.5)
     site.run(1_000)
     for gateway in site.by_name.values():
-        assert gateway.pool.quota_parts[NEEDY].quota == 0.5
+        assert gateway.pool.quota_shares[NEEDY].quota == 0.5
     before = len(site.arrivals[NEEDY])
     site.run(3_000)
     assert len(site.arrivals[NEEDY]) == before
@@ -137,7 +137,7 @@
     site.run(6_000)
     site.needs_help(NEEDY, None)
     site.run(9_000)
-    assert NEEDY not in site.by_name[site.names[0]].pool.quota_parts
+    assert NEEDY not in site.by_name[site.names[0]].pool.quota_shares
     site.needs_help(NEEDY, 1.0)
     site.run(9_000)
     site.check()
@@ -154,7 +154,7 @@
         site.by_name[name].has_callers = False
     site.needs_help(NEEDY, None)
     site.run(24_000)
-    assert NEEDY not in site.by_name[site.names[0]].pool.quota_parts
+    assert NEEDY not in site.by_name[site.names[0]].pool.quota_shares
 
 
 def each_gateway_by_itself(monkeypatch):
--- a/tests/gateway/test_requests_go_to_groups_that_run.py
+++ b/tests/gateway/test_requests_go_to_groups_that_run.py
@@ -14,16 +14,16 @@
 
 from azurefold.core.admission.outage import latest_return
 from azurefold.core.routes.model import AnswerKind
-from azurefold.core.routing.peer_loads import endpoint_mark
-from azurefold.core.routing.rank_groups import GroupNews, Standing
+from azurefold.core.routing.peer_loads import endpoint_hash
+from azurefold.core.routing.rank_groups import GroupStatus, Standing
 from azurefold.gateway.callers.relay import Relay
 
 FIRST, SECOND = ("e0",), ("e1", "e2")
 
 
 def news_of(group, standing, ranks, epoch=1):
-    marks = tuple(map(endpoint_mark, ranks))
-    return GroupNews(endpoint_mark("desk"), group, epoch, standing, marks)
+    marks = tuple(map(endpoint_hash, ranks))
+    return GroupStatus(endpoint_hash("desk"), group, epoch, standing, marks)
 
 
 @pytest.fixture
@@ -114,7 +114,7 @@
     service.promised_gap_ms = 120
     room = service.admission.pool.room
     for number in range(6):
-        service.admission.pool.started("e1", f"r{number}", time.at)
+        service.admission.pool.record_start("e1", f"r{number}", time.at)
     for _ in range(30):
         time.at += 150
         service.event_gap("e1", 150, time.at)
--- a/tests/gateway/test_retries_of_all_gateways_stay_allowed.py
+++ b/tests/gateway/test_retries_of_all_gateways_stay_allowed.py
@@ -10,7 +10,7 @@
 
 from azurefold.core.clock import ManualTime, manual_clock
 from azurefold.core.routes.model import RoutedService, RoutingConfiguration
-from azurefold.core.routing.retries import RetryBudget, RetryPart
+from azurefold.core.routing.retries import RetryAllowance, RetryBudget
 from azurefold.gateway.settings import GatewaySettings
 from azurefold.gateway.state import new_gateway_state
 from azurefold_standins.retry_allowance import Allowance, excesses
@@ -202,7 +202,7 @@
 
 
 def parts_that_grow_at_once(monkeypatch):
-    monkeypatch.setattr(RetryPart, "at", lambda part, now: part._told[-1][1])
+    monkeypatch.setattr(RetryAllowance, "at", lambda part, now: part._told[-1][1])
 
 
 def a_share_of_what_has_arrived(monkeypatch):
--- a/tests/gateway/test_words_that_waited.py
+++ b/tests/gateway/test_words_that_waited.py
@@ -41,7 +41,7 @@
 
     @property
     def quota(self):
-        parts = self.state.services[SERVICE].admission.pool.quota_parts
+        parts = self.state.services[SERVICE].admission.pool.quota_shares
         return parts[NEEDY].quota if NEEDY in parts else None
 
     def answered(self, rate):
