--- a/bench/balance.py
+++ b/bench/balance.py
@@ -12,18 +12,22 @@
 from dataclasses import dataclass, field
 from statistics import fmean, quantiles
 
-from azurefold.core.balance.packing import pack
+from azurefold.core.balance.packing import pack_experts
 from azurefold.core.balance.placement import (
     Assignment,
-    check_assignment,
-    even_assignment,
+    assign_evenly,
+    validate_assignment,
+)
+from azurefold.core.balance.popularity import (
+    Popularity,
+    new_popularity,
+    update_popularity,
 )
-from azurefold.core.balance.popularity import Popularity, new_popularity, observe
 from azurefold.core.balance.straggler import (
     RankPace,
-    new_paces,
-    observe_step,
-    speeds,
+    initial_paces,
+    planning_speeds,
+    update_paces,
 )
 from azurefold.core.clock import SECOND
 from bench.balance_policies import Balancer, Situation, balancers, fetched
@@ -93,7 +97,7 @@
             lanes = _lanes(shape, tick, compared)
         times_noise = [noise.lognormvariate(0, _TIME_NOISE) for _ in tick.speeds]
         popularity = [
-            observe(layer, counts, shape.tick, tick.time_of_day)
+            update_popularity(layer, counts, shape.tick, tick.time_of_day)
             for layer, counts in zip(popularity, tick.counts, strict=True)
         ]
         for lane in lanes:
@@ -110,10 +114,12 @@
 
 def _lanes(shape: Shape, tick: Tick, compared: list[Balancer]) -> list[_Lane]:
     start = tuple(
-        even_assignment(pack(counts, shape.n_ranks, shape.slots_per_rank))
+        assign_evenly(pack_experts(counts, shape.n_ranks, shape.slots_per_rank))
         for counts in tick.counts
     )
-    return [_Lane(balancer, start, new_paces(shape.n_ranks)) for balancer in compared]
+    return [
+        _Lane(balancer, start, initial_paces(shape.n_ranks)) for balancer in compared
+    ]
 
 
 def _measure(lane: _Lane, tick: Tick) -> None:
@@ -133,12 +139,12 @@
         total / speed * factor
         for total, speed, factor in zip(totals, tick.speeds, noise, strict=True)
     ]
-    lane.paces = observe_step(lane.paces, totals, times, tick.time_of_day)
+    lane.paces = update_paces(lane.paces, totals, times, tick.time_of_day)
 
 
 def _decide(lane: _Lane, tick: Tick, popularity: list[Popularity]) -> None:
     rates = tuple(layer.rates for layer in popularity)
-    known = speeds(lane.paces)
+    known = planning_speeds(lane.paces)
     situation = Situation(tick.time_of_day, rates, known, lane.in_force)
     started = time.process_time()
     decided = tuple(lane.balancer.decide(situation))
@@ -147,7 +153,7 @@
     loads = 0
     for old, new in zip(lane.in_force, decided, strict=True):
         if new is not old:
-            check_assignment(new)
+            validate_assignment(new)
             lane.maps += 1
             loads += fetched(old.placement, new.placement)
     lane.in_force = decided
--- a/bench/balance_cpu.py
+++ b/bench/balance_cpu.py
@@ -11,8 +11,8 @@
 import time
 from statistics import median
 
-from azurefold.core.balance.packing import pack
-from azurefold.core.balance.placement import even_assignment
+from azurefold.core.balance.packing import pack_experts
+from azurefold.core.balance.placement import assign_evenly
 from azurefold.core.balance.policy import BalancePolicy
 from azurefold.core.balance.proposal import LayerView
 from azurefold.core.balance.search import propose_layer
@@ -56,7 +56,7 @@
 def _view(n_experts: int, n_ranks: int, slots: int, rng: random.Random) -> LayerView:
     popular = [place**-0.8 for place in range(1, n_experts + 1)]
     rng.shuffle(popular)
-    assignment = even_assignment(pack(popular, n_ranks, slots))
+    assignment = assign_evenly(pack_experts(popular, n_ranks, slots))
     rates = tuple(rate * rng.lognormvariate(0, _SIGMA) for rate in popular)
     speeds = (_SLOW_SPEED,) + (1.0,) * (n_ranks - 1)
     return LayerView(0, rates, assignment, speeds)
@@ -64,5 +64,5 @@
 
 def _time(view: LayerView) -> float:
     started = time.process_time()
-    propose_layer(view, _POLICY, time_of_day=0, loads_left=_POLICY.max_loads)
+    propose_layer(view, _POLICY, time_of_day=0, loads_left=_POLICY.max_weight_loads)
     return (time.process_time() - started) * SECOND
--- a/bench/balance_policies.py
+++ b/bench/balance_policies.py
@@ -6,12 +6,17 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, replace
 
-from azurefold.core.balance.packing import pack
-from azurefold.core.balance.placement import Assignment, Placement, even_assignment
+from azurefold.core.balance.packing import pack_experts
+from azurefold.core.balance.placement import Assignment, Placement, assign_evenly
 from azurefold.core.balance.policy import BalancePolicy, MoveWindow
 from azurefold.core.balance.proposal import LayerView
-from azurefold.core.balance.search import propose
-from azurefold.core.balance.shares import assign, excess, level, rank_loads_of
+from azurefold.core.balance.search import propose_rebalance
+from azurefold.core.balance.shares import (
+    balance_replica_loads,
+    build_assignment,
+    build_layer_loads,
+    compute_excess,
+)
 from azurefold.core.clock import Millis
 from bench.balance_traces import BOOKING_END, BOOKING_START, MINUTE
 
@@ -29,8 +34,8 @@
 UNION = BalancePolicy(
     skew_weight=0.1,
     move_weight=4.0,
-    reshare_gain=0.02,
-    windows=(MoveWindow(BOOKING_START, BOOKING_END, factor=float("inf")),),
+    min_reshare_gain=0.02,
+    move_windows=(MoveWindow(BOOKING_START, BOOKING_END, factor=float("inf")),),
 )
 
 _REPACK_INTERVAL: Millis = 10 * MINUTE
@@ -84,7 +89,7 @@
                 zip(situation.rates, situation.in_force, strict=True)
             )
         ]
-        proposal = propose(views, policy, situation.time_of_day)
+        proposal = propose_rebalance(views, policy, situation.time_of_day)
         return [layer.assignment for layer in proposal.layers]
 
     return decide
@@ -93,9 +98,9 @@
 def _share_anew(situation: Situation) -> Sequence[Assignment]:
     result = []
     for rates, assignment in zip(situation.rates, situation.in_force, strict=True):
-        state = rank_loads_of(assignment, rates, situation.speeds)
-        level(state)
-        result.append(assign(state, assignment.placement.slots_per_rank))
+        state = build_layer_loads(assignment, rates, situation.speeds)
+        balance_replica_loads(state)
+        result.append(build_assignment(state, assignment.placement.slots_per_rank))
     return result
 
 
@@ -121,7 +126,7 @@
     result = []
     equal = (1.0,) * len(situation.speeds)
     for rates, assignment in zip(situation.rates, situation.in_force, strict=True):
-        seen = excess(assignment.rank_loads(rates), equal)
+        seen = compute_excess(assignment.rank_loads(rates), equal)
         over = seen > _REPACK_THRESHOLD
         result.append(_repack(rates, assignment) if over else assignment)
     return result
@@ -129,13 +134,13 @@
 
 def _repack(rates: Sequence[float], assignment: Assignment) -> Assignment:
     old = assignment.placement
-    return even_assignment(pack(rates, len(old.ranks), old.slots_per_rank))
+    return assign_evenly(pack_experts(rates, len(old.ranks), old.slots_per_rank))
 
 
 def _repack_matched(rates: Sequence[float], assignment: Assignment) -> Assignment:
     """Pack anew, then give each rank the bin that it already holds most of."""
     old = assignment.placement
-    bins = pack(rates, len(old.ranks), old.slots_per_rank).ranks
+    bins = pack_experts(rates, len(old.ranks), old.slots_per_rank).ranks
     overlaps = sorted(
         (-len(set(bins[b]) & set(old.ranks[r])), r, b)
         for r in range(len(bins))
@@ -148,4 +153,4 @@
             bin_of[rank] = bin_index
             used.add(bin_index)
     ranks = tuple(bins[bin_of[rank]] for rank in range(len(bins)))
-    return even_assignment(Placement(old.n_experts, old.slots_per_rank, ranks))
+    return assign_evenly(Placement(old.n_experts, old.slots_per_rank, ranks))
--- a/bench/slopes_core.py
+++ b/bench/slopes_core.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from azurefold.border.configuration import configuration_from_raw
-from azurefold.core.balance.packing import pack
+from azurefold.core.balance.packing import pack_experts
 from azurefold.core.configuration.follower import Follower, follower
 from azurefold.core.configuration.head import (
     NO_HEAD,
@@ -184,7 +184,9 @@
     for experts in size.experts:
         slots = max(1, -(-experts * 5 // (ranks * 4)))
         rates = [place**-0.8 for place in range(1, experts + 1)]
-        coded.append(len(msgspec.msgpack.encode(pack(rates, ranks, slots).ranks)))
+        coded.append(
+            len(msgspec.msgpack.encode(pack_experts(rates, ranks, slots).ranks))
+        )
         decisions.append(_decision_ms(experts, ranks, slots, size.cases))
     if not coded[-1] > coded[0]:
         raise AssertionError(f"a map of {most} experts is not the largest")
--- a/src/azurefold/commands/report.py
+++ b/src/azurefold/commands/report.py
@@ -26,10 +26,10 @@
 from azurefold.commands.reports import Exit, Report, render_json, unavailable_report
 from azurefold.core.clock import Clock, Millis
 from azurefold.core.configuration.model import Configuration
-from azurefold.core.objectives.burn import BurnReport, ObjectiveLog, burn_report
-from azurefold.core.objectives.counts import Counts, Source
+from azurefold.core.objectives.burn import BurnReport, ObjectiveLog, build_burn_report
+from azurefold.core.objectives.counts import RequestCounts, Source
 from azurefold.core.objectives.objective import Objective
-from azurefold.core.objectives.text import render_burn
+from azurefold.core.objectives.rendering import render_burn
 from azurefold.internal.clock import wall_clock
 from azurefold.site_store.client import platform_client
 from azurefold.site_store.configuration_store import configuration_store
@@ -90,10 +90,10 @@
     logs = _logs(configuration)
     for reading in sorted(readings, key=lambda each: each.at):
         for log in logs.values():
-            log.visit(reading.process, reading.at)
+            log.record_scrape(reading.process, reading.at)
         for tally in reading.tallies:
             _feed(logs, tally, reading)
-    told = [(key.scope, burn_report(log, now)) for key, log in logs.items()]
+    told = [(key.scope, build_burn_report(log, now)) for key, log in logs.items()]
     return [
         report
         for scope, report in told
@@ -261,7 +261,7 @@
     # Kept readings may be of services and thresholds that have changed since.
     if log is not None:
         source = Source(reading.process, tally.organisation, tally.endpoint)
-        log.add(source, Counts(tally.good, tally.total), reading.at)
+        log.add(source, RequestCounts(tally.good, tally.total), reading.at)
 
 
 def _scope_of(tally: Tally) -> _Scope:
--- a/src/azurefold/commands/report_readings.py
+++ b/src/azurefold/commands/report_readings.py
@@ -10,7 +10,7 @@
 
 from azurefold.core.clock import Clock, Millis
 from azurefold.core.configuration.model import Configuration, Kind, Service
-from azurefold.core.objectives.counts import good_from_buckets
+from azurefold.core.objectives.counts import count_good_from_buckets
 from azurefold.core.objectives.objective import Objective, ObjectiveKind
 from azurefold.internal.http_client import CONNECTION_ERRORS, http_client
 
@@ -201,7 +201,7 @@
         yield from _answers(families.get(_ANSWERS), service)
         return
     buckets = _buckets(families, service, objective.kind)
-    good = good_from_buckets(buckets, (objective.threshold or 0) / _SECOND_MS)
+    good = count_good_from_buckets(buckets, (objective.threshold or 0) / _SECOND_MS)
     if good is None:
         return
     total = max(count for _, count in buckets)
--- a/src/azurefold/control/groups_balance.py
+++ b/src/azurefold/control/groups_balance.py
@@ -6,11 +6,11 @@
 import gevent
 
 from azurefold.control.groups_lead import GroupLead
-from azurefold.core.balance.explain import explain
-from azurefold.core.balance.placement import check_assignment
-from azurefold.core.balance.policy import DAY, BalancePolicy, MoveWindow
+from azurefold.core.balance.explain import explain_proposal
+from azurefold.core.balance.placement import validate_assignment
+from azurefold.core.balance.policy import DAY_MS, BalancePolicy, MoveWindow
 from azurefold.core.balance.proposal import Proposal
-from azurefold.core.balance.search import propose
+from azurefold.core.balance.search import propose_rebalance
 from azurefold.core.clock import Clock, Millis
 from azurefold.core.configuration.model import Balance
 from azurefold.core.groups.popularity import GroupPopularity, new_group_popularity
@@ -100,15 +100,15 @@
             detail = "the ranks have not reported any tokens since the last reading"
             return RebalanceReply(False, holder=holder, detail=detail)
         now = self._now()
-        proposal = propose(
+        proposal = propose_rebalance(
             popularity.views(),
             self.policy,
-            self.wall.now() % DAY,
+            self.wall.now() % DAY_MS,
             popularity.stragglers(now),
         )
         self.decisions += 1
         content = proposed_map(popularity, proposal)
-        text = explain(proposal)
+        text = explain_proposal(proposal)
         if content is None:
             return RebalanceReply(True, text, holder=holder)
         map_id = map_id_of(content)
@@ -151,11 +151,11 @@
 
 def proposed_map(popularity: GroupPopularity, proposal: Proposal) -> bytes | None:
     """Return the content of the map proposed; None if the present one stays."""
-    if not any(layer.changed for layer in proposal.layers):
+    if not any(layer.is_changed for layer in proposal.layers):
         return None
     layers = list(popularity.reports[0].layers)
     for layer in proposal.layers:
-        check_assignment(layer.assignment)
+        validate_assignment(layer.assignment)
         layers[layer.view.layer] = layer.assignment
     return encode_map(tuple(layers))
 
--- a/src/azurefold/core/balance/candidates.py
+++ b/src/azurefold/core/balance/candidates.py
@@ -4,10 +4,10 @@
 from dataclasses import dataclass
 
 from azurefold.core.balance.moves import Drop, Move, Replicate, Swap
-from azurefold.core.balance.policy import Split
-from azurefold.core.balance.shares import RankLoads
+from azurefold.core.balance.policy import ReplicaSplit
+from azurefold.core.balance.shares import LayerLoads
 
-__all__ = ["candidates", "slow_count"]
+__all__ = ["find_candidate_moves", "slow_count"]
 
 _SLOW_BAND = 0.003
 _FAST_RANKS = 4
@@ -25,18 +25,20 @@
     move: Move
 
 
-def candidates(state: RankLoads, slots_per_rank: int, split: Split) -> list[Move]:
+def find_candidate_moves(
+    state: LayerLoads, slots_per_rank: int, split: ReplicaSplit
+) -> list[Move]:
     """Return a few moves that may lower the slowest rank, most promising first.
 
     The estimates are rough and cheap; whoever asks tries each move properly.
 
     Parameters
     ----------
-    state : RankLoads
+    state : LayerLoads
         Loads with the shares already split.
     slots_per_rank : int
         Weights that one rank has room for.
-    split : Split
+    split : ReplicaSplit
         How replicas share load.
     """
     view = _view(state, slots_per_rank)
@@ -45,13 +47,13 @@
     found = _best(iter(replications + swaps), _REPLICATIONS_TRIED + _SWAPS_TRIED)
     moves = [scored.move for scored in found]
     match split:
-        case Split.EVEN:
+        case ReplicaSplit.EVEN:
             return moves + _drops(view)
-        case Split.LEVEL:
+        case ReplicaSplit.LEVEL:
             return moves
 
 
-def slow_count(state: RankLoads) -> int:
+def slow_count(state: LayerLoads) -> int:
     """Return how many ranks are as good as tied for the slowest."""
     limit = state.slowest * (1.0 - _SLOW_BAND)
     pairs = zip(state.totals, state.speeds, strict=True)
@@ -62,7 +64,7 @@
 class _View:
     """The state seen from its ranks."""
 
-    state: RankLoads
+    state: LayerLoads
     slots_per_rank: int
     held: list[list[int]]
     times: list[float]
@@ -70,7 +72,7 @@
     fast: list[int]
 
 
-def _view(state: RankLoads, slots_per_rank: int) -> _View:
+def _view(state: LayerLoads, slots_per_rank: int) -> _View:
     held: list[list[int]] = [[] for _ in state.totals]
     for expert, hosts in enumerate(state.hosts):
         for rank in hosts:
@@ -84,7 +86,7 @@
     return _View(state, slots_per_rank, held, times, slow, fast)
 
 
-def _part(state: RankLoads, expert: int, rank: int) -> float:
+def _part(state: LayerLoads, expert: int, rank: int) -> float:
     return state.parts[expert][state.hosts[expert].index(rank)]
 
 
--- a/src/azurefold/core/balance/explain.py
+++ b/src/azurefold/core/balance/explain.py
@@ -3,17 +3,17 @@
 import math
 from collections.abc import Iterator
 
-from azurefold.core.balance.moves import Drop, Move, Replicate, Swap, weight_loads
-from azurefold.core.balance.proposal import JudgedMove, LayerProposal, Proposal
-from azurefold.core.objectives.text import duration
+from azurefold.core.balance.moves import Drop, Move, Replicate, Swap, count_weight_loads
+from azurefold.core.balance.proposal import EvaluatedMove, LayerProposal, Proposal
+from azurefold.core.objectives.rendering import format_duration
 
-__all__ = ["explain"]
+__all__ = ["explain_proposal"]
 
 _POPULAR_SHOWN = 8
 _RANKS_SHOWN = 8
 
 
-def explain(proposal: Proposal) -> str:
+def explain_proposal(proposal: Proposal) -> str:
     """Return popularity, load for each rank, moves taken and moves left, as text.
 
     Parameters
@@ -26,13 +26,15 @@
 
 def _lines(proposal: Proposal) -> Iterator[str]:
     yield (
-        f"weight loads: {proposal.loads_used} of {proposal.loads_allowed} "
+        f"weight loads: {proposal.weight_loads_used} "
+        f"of {proposal.weight_loads_allowed} "
         f"in this interval; {_price_now(proposal.move_factor)}"
     )
     for straggler in proposal.stragglers:
         yield (
             f"rank {straggler.rank} is slow as such: {straggler.slowdown:.2f} times "
-            f"the median time per token, found {duration(straggler.slow_for)} ago"
+            f"the median time per token, "
+            f"found {format_duration(straggler.slow_for)} ago"
         )
     for layer in proposal.layers:
         yield ""
@@ -50,18 +52,18 @@
 def _layer_lines(layer: LayerProposal) -> Iterator[str]:
     yield (
         f"layer {layer.view.layer}: slowest rank {layer.excess_before:.1%} above the "
-        f"lower bound, {layer.excess_shared:.1%} with new shares alone, "
+        f"lower bound, {layer.excess_after_resharing:.1%} with new shares alone, "
         f"{layer.excess_after:.1%} as proposed"
     )
     yield f"  most popular: {_popular(layer)}"
     yield f"  slowest ranks now: {_rank_times(layer)}"
-    if not layer.changed:
+    if not layer.is_changed:
         yield "  no new map"
-    elif not layer.taken:
+    elif not layer.accepted:
         yield "  new shares for the replicas, no weights to load"
-    for judged in layer.taken:
+    for judged in layer.accepted:
         yield f"  take: {_judged(judged)}"
-    for judged in layer.not_taken:
+    for judged in layer.rejected:
         yield f"  leave: {_judged(judged)}: {judged.reason.value}"
 
 
@@ -86,9 +88,9 @@
     )
 
 
-def _judged(judged: JudgedMove) -> str:
+def _judged(judged: EvaluatedMove) -> str:
     return (
-        f"{_move(judged.move)}, weight loads {weight_loads(judged.move)}, "
+        f"{_move(judged.move)}, weight loads {count_weight_loads(judged.move)}, "
         f"gain {judged.gain:.2f}, cost {judged.cost:.2f}"
     )
 
--- a/src/azurefold/core/balance/even_split.py
+++ b/src/azurefold/core/balance/greedy_search.py
@@ -82,7 +82,7 @@
         return sum(self._new)
 
     @property
-    def loads_of_ranks(self) -> tuple[int, ...]:
+    def weight_loads_by_rank(self) -> tuple[int, ...]:
         """Experts that each rank holds and did not hold at first."""
         return tuple(self._new)
 
--- a/src/azurefold/core/balance/moves.py
+++ b/src/azurefold/core/balance/moves.py
@@ -2,9 +2,9 @@
 
 from dataclasses import dataclass
 
-from azurefold.core.balance.shares import RankLoads
+from azurefold.core.balance.shares import LayerLoads
 
-__all__ = ["Drop", "Move", "Replicate", "Swap", "apply_move", "weight_loads"]
+__all__ = ["Drop", "Move", "Replicate", "Swap", "apply_move", "count_weight_loads"]
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,7 +47,7 @@
 Move = Replicate | Swap | Drop
 
 
-def weight_loads(move: Move) -> int:
+def count_weight_loads(move: Move) -> int:
     """Return how many experts' weights the move fetches from the store."""
     match move:
         case Replicate():
@@ -58,7 +58,7 @@
             return 0
 
 
-def apply_move(state: RankLoads, move: Move) -> None:
+def apply_move(state: LayerLoads, move: Move) -> None:
     """Change the hosts in ``state``; the caller splits the loads again.
 
     Until then an added replica takes nothing, and what a removed one took goes
@@ -84,14 +84,14 @@
             _remove(state, expert, rank)
 
 
-def _add(state: RankLoads, expert: int, rank: int) -> None:
+def _add(state: LayerLoads, expert: int, rank: int) -> None:
     if rank in state.hosts[expert]:
         raise ValueError(f"rank {rank} holds expert {expert} already")
     state.hosts[expert].append(rank)
     state.parts[expert].append(0.0)
 
 
-def _remove(state: RankLoads, expert: int, rank: int) -> None:
+def _remove(state: LayerLoads, expert: int, rank: int) -> None:
     hosts, parts = state.hosts[expert], state.parts[expert]
     if len(hosts) == 1:
         raise ValueError(f"expert {expert} would be left without a slot")
--- a/src/azurefold/core/balance/packing.py
+++ b/src/azurefold/core/balance/packing.py
@@ -10,10 +10,12 @@
 
 from azurefold.core.balance.placement import Placement
 
-__all__ = ["pack"]
+__all__ = ["pack_experts"]
 
 
-def pack(loads: Sequence[float], n_ranks: int, slots_per_rank: int) -> Placement:
+def pack_experts(
+    loads: Sequence[float], n_ranks: int, slots_per_rank: int
+) -> Placement:
     """Place all experts, with the spare slots used as replicas of hot ones.
 
     Parameters
@@ -32,7 +34,7 @@
 
     Examples
     --------
-    >>> pack([8.0, 1.0, 1.0], n_ranks=2, slots_per_rank=2).ranks
+    >>> pack_experts([8.0, 1.0, 1.0], n_ranks=2, slots_per_rank=2).ranks
     ((0, 1), (0, 2))
     """
     n_slots = n_ranks * slots_per_rank
--- a/src/azurefold/core/balance/placement.py
+++ b/src/azurefold/core/balance/placement.py
@@ -3,7 +3,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-__all__ = ["Assignment", "Placement", "check_assignment", "even_assignment"]
+__all__ = ["Assignment", "Placement", "validate_assignment", "assign_evenly"]
 
 _SHARE_TOLERANCE = 1e-6
 
@@ -35,7 +35,7 @@
                 hosts[expert].append(rank)
         return tuple(tuple(of_expert) for of_expert in hosts)
 
-    def findings(self) -> tuple[str, ...]:
+    def find_violations(self) -> tuple[str, ...]:
         """Return what is wrong with the placement; empty when it is sound."""
         found = []
         for rank, experts in enumerate(self.ranks):
@@ -84,20 +84,20 @@
         return totals
 
 
-def even_assignment(placement: Placement) -> Assignment:
-    """Split each expert's load evenly over its replicas.
+def assign_evenly(placement: Placement) -> Assignment:
+    """ReplicaSplit each expert's load evenly over its replicas.
 
     Examples
     --------
     >>> placement = Placement(3, 2, ((0, 1), (0, 2)))
-    >>> even_assignment(placement).shares
+    >>> assign_evenly(placement).shares
     ((0.5, 0.5), (1.0,), (1.0,))
     """
     shares = tuple((1.0 / len(hosts),) * len(hosts) for hosts in placement.hosts)
     return Assignment(placement, shares)
 
 
-def check_assignment(assignment: Assignment) -> None:
+def validate_assignment(assignment: Assignment) -> None:
     """Refuse an assignment that would lose tokens or overfill a rank.
 
     Raises
@@ -105,7 +105,7 @@
     ExceptionGroup
         Of :class:`ValueError`, one for each finding.
     """
-    found = list(assignment.placement.findings())
+    found = list(assignment.placement.find_violations())
     hosts = assignment.placement.hosts
     if len(assignment.shares) != len(hosts):
         found.append(f"shares for {len(assignment.shares)} of {len(hosts)} experts")
--- a/src/azurefold/core/balance/plan.py
+++ b/src/azurefold/core/balance/plan.py
@@ -3,35 +3,35 @@
 from collections.abc import Collection, Iterator, Sequence
 from dataclasses import dataclass
 
-from azurefold.core.balance.even_split import EvenSplit, even_split
-from azurefold.core.balance.placement import Placement, even_assignment
+from azurefold.core.balance.greedy_search import EvenSplit, even_split
+from azurefold.core.balance.placement import Placement, assign_evenly
 from azurefold.core.balance.policy import BalancePolicy
 
 __all__ = [
     "LayerPlan",
-    "LoadLimits",
+    "WeightLoadLimits",
     "MapPlan",
-    "layer_skew",
-    "map_zero",
+    "compute_layer_skew",
+    "initial_placement",
     "plan_layer",
     "plan_layers",
 ]
 
 
 @dataclass(frozen=True, slots=True)
-class LoadLimits:
+class WeightLoadLimits:
     """What one change may load.
 
     Parameters
     ----------
-    of_a_layer : int
+    max_per_rank_and_layer : int
         Experts of one layer that may be new to a rank.
-    of_a_rank : int
+    max_per_rank : int
         Experts of all layers that may be new to a rank.
     """
 
-    of_a_layer: int
-    of_a_rank: int
+    max_per_rank_and_layer: int
+    max_per_rank: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,19 +45,19 @@
     skew_before, skew_after : float
         Time of the slowest rank over the time if all were level: its load, and its
         speed where it is slow as such.
-    loads_of_ranks : tuple of int
+    weight_loads_by_rank : tuple of int
         Weights that each rank has to load.
     """
 
     placement: Placement
     skew_before: float
     skew_after: float
-    loads_of_ranks: tuple[int, ...]
+    weight_loads_by_rank: tuple[int, ...]
 
     @property
-    def loads(self) -> int:
+    def weight_loads(self) -> int:
         """Weights that all ranks have to load."""
-        return sum(self.loads_of_ranks)
+        return sum(self.weight_loads_by_rank)
 
 
 @dataclass(frozen=True, slots=True)
@@ -67,14 +67,14 @@
     layers: tuple[LayerPlan, ...]
 
     @property
-    def loads(self) -> int:
+    def weight_loads(self) -> int:
         """Weights that ranks have to load."""
-        return sum(layer.loads for layer in self.layers)
+        return sum(layer.weight_loads for layer in self.layers)
 
     @property
-    def loads_of_ranks(self) -> tuple[int, ...]:
+    def weight_loads_by_rank(self) -> tuple[int, ...]:
         """Weights that each rank has to load, which it does one after the other."""
-        by_layer = (layer.loads_of_ranks for layer in self.layers)
+        by_layer = (layer.weight_loads_by_rank for layer in self.layers)
         return tuple(map(sum, zip(*by_layer, strict=True)))
 
     @property
@@ -93,21 +93,21 @@
         return tuple(layer.placement for layer in self.layers)
 
 
-def map_zero(n_experts: int, places: int, n_ranks: int) -> Placement:
+def initial_placement(n_experts: int, places: int, n_ranks: int) -> Placement:
     """Return the placement of a group that has just formed: experts in turn.
 
     Examples
     --------
-    >>> map_zero(5, 3, 2).ranks
+    >>> initial_placement(5, 3, 2).ranks
     ((0, 2, 4), (1, 3))
     """
     ranks = tuple(tuple(range(rank, n_experts, n_ranks)) for rank in range(n_ranks))
     return Placement(n_experts, places, ranks)
 
 
-def layer_skew(placement: Placement, rates: Sequence[float]) -> float:
+def compute_layer_skew(placement: Placement, rates: Sequence[float]) -> float:
     """Return the load of the most loaded rank over the mean load."""
-    loads = even_assignment(placement).rank_loads(rates)
+    loads = assign_evenly(placement).rank_loads(rates)
     mean = sum(loads) / len(loads)
     return max(loads) / mean if mean > 0 else 1.0
 
@@ -117,7 +117,7 @@
     popularity: Sequence[Sequence[float]],
     speeds: Sequence[float],
     policy: BalancePolicy,
-    limits: LoadLimits,
+    limits: WeightLoadLimits,
 ) -> Iterator[MapPlan | None]:
     """Plan all layers: steps as far as they pay for what ranks have to load.
 
@@ -136,7 +136,7 @@
     speeds : sequence of float
         Of each rank; 1.0 is that of a sound one.
     policy : BalancePolicy
-    limits : LoadLimits
+    limits : WeightLoadLimits
 
     Yields
     ------
@@ -152,8 +152,8 @@
     while open_layers:
         layer = max(open_layers, key=_Layer.current_skew)
         used = [sum(each.loads[rank] for each in layers) for rank in range(len(speeds))]
-        full = {rank for rank, loads in enumerate(used) if loads >= limits.of_a_rank}
-        if not layer.step(limits.of_a_layer, full):
+        full = {rank for rank, loads in enumerate(used) if loads >= limits.max_per_rank}
+        if not layer.step(limits.max_per_rank_and_layer, full):
             open_layers.remove(layer)
         yield None
     yield MapPlan(tuple(layer.plan() for layer in layers))
@@ -167,7 +167,7 @@
     loads_per_rank: int,
 ) -> LayerPlan:
     """Plan one layer by itself; see :func:`plan_layers`."""
-    limits = LoadLimits(loads_per_rank, loads_per_rank)
+    limits = WeightLoadLimits(loads_per_rank, loads_per_rank)
     steps = plan_layers([placement], [rates], speeds, policy, limits)
     *_, plan = steps
     return plan.layers[0]
@@ -187,7 +187,7 @@
 
     def __post_init__(self) -> None:
         self.before = self.after = self.split.skew
-        self.loads = self.split.loads_of_ranks
+        self.loads = self.split.weight_loads_by_rank
 
     def current_skew(self) -> float:
         return self.split.skew
@@ -199,14 +199,14 @@
             return False
         if (
             not split.relieve(most_of_a_rank, full)
-            or split.new_loads > policy.max_loads
+            or split.new_loads > policy.max_weight_loads
         ):
             return False
-        gained = policy.price_of_excess * (self.before - split.skew)
+        gained = policy.excess_cost * (self.before - split.skew)
         cost = policy.move_weight * split.new_loads - gained
         if cost < self.least_cost:
             self.best, self.after = split.placement(), split.skew
-            self.loads, self.least_cost = split.loads_of_ranks, cost
+            self.loads, self.least_cost = split.weight_loads_by_rank, cost
         return True
 
     def plan(self) -> LayerPlan:
--- a/src/azurefold/core/balance/policy.py
+++ b/src/azurefold/core/balance/policy.py
@@ -5,13 +5,13 @@
 
 from azurefold.core.clock import SECOND, Millis
 
-__all__ = ["DAY", "BalancePolicy", "MoveWindow", "Split", "move_factor"]
+__all__ = ["DAY_MS", "BalancePolicy", "MoveWindow", "ReplicaSplit", "move_factor"]
 
-DAY: Millis = 24 * 60 * 60 * SECOND
+DAY_MS: Millis = 24 * 60 * 60 * SECOND
 _DEFAULT_DRIFT_LIFE: Millis = 30 * 60 * SECOND
 
 
-class Split(Enum):
+class ReplicaSplit(Enum):
     """How the load of an expert is split over its replicas."""
 
     EVEN = "even"
@@ -35,7 +35,7 @@
     end: Millis
     factor: float
 
-    def holds(self, time_of_day: Millis) -> bool:
+    def contains(self, time_of_day: Millis) -> bool:
         """Return whether ``time_of_day`` lies within the window."""
         if self.start <= self.end:
             return self.start <= time_of_day < self.end
@@ -52,31 +52,31 @@
         Price of one second in which the slowest rank takes twice the ideal time.
     move_weight : float
         Price of loading one expert's weights into one slot.
-    windows : tuple of MoveWindow
+    move_windows : tuple of MoveWindow
         When moves are dearer. Where windows overlap the dearest holds.
-    drift_life : int
+    placement_lifetime : int
         Milliseconds for which a placement made now is expected to stay useful.
-    max_loads : int
+    max_weight_loads : int
         Weight loads allowed in one interval, over all layers.
     interval : int
         Milliseconds between two decisions.
     tolerated_excess : float
         Excess of the slowest rank below which nothing is searched.
-    reshare_gain : float
+    min_reshare_gain : float
         Gain of excess from which new shares alone justify a new map.
-    split : Split
+    split : ReplicaSplit
         How replicas share an expert's load.
     """
 
     skew_weight: float
     move_weight: float
-    windows: tuple[MoveWindow, ...] = ()
-    drift_life: Millis = _DEFAULT_DRIFT_LIFE
-    max_loads: int = 32
+    move_windows: tuple[MoveWindow, ...] = ()
+    placement_lifetime: Millis = _DEFAULT_DRIFT_LIFE
+    max_weight_loads: int = 32
     interval: Millis = 30 * SECOND
     tolerated_excess: float = 0.01
-    reshare_gain: float = 0.01
-    split: Split = Split.LEVEL
+    min_reshare_gain: float = 0.01
+    split: ReplicaSplit = ReplicaSplit.LEVEL
 
     def __post_init__(self) -> None:
         """Refuse weights that would make every move, or none, worth while.
@@ -88,15 +88,17 @@
         """
         if self.skew_weight < 0 or self.move_weight < 0:
             raise ValueError("skew_weight and move_weight must not be negative")
-        if self.drift_life <= 0:
-            raise ValueError(f"drift_life must be above 0 ms, not {self.drift_life}")
-        if any(window.factor < 1 for window in self.windows):
+        if self.placement_lifetime <= 0:
+            raise ValueError(
+                f"drift_life must be above 0 ms, not {self.placement_lifetime}"
+            )
+        if any(window.factor < 1 for window in self.move_windows):
             raise ValueError("the factor of a move window must be at least 1")
 
     @property
-    def price_of_excess(self) -> float:
+    def excess_cost(self) -> float:
         """Price of an excess of 1.0 that lasts for the life of the drift."""
-        return self.skew_weight * self.drift_life / SECOND
+        return self.skew_weight * self.placement_lifetime / SECOND
 
 
 def move_factor(policy: BalancePolicy, time_of_day: Millis) -> float:
@@ -105,9 +107,11 @@
     Examples
     --------
     >>> booking = MoveWindow(start=9 * 3_600_000, end=14 * 3_600_000, factor=20.0)
-    >>> policy = BalancePolicy(1.0, 8.0, windows=(booking,))
+    >>> policy = BalancePolicy(1.0, 8.0, move_windows=(booking,))
     >>> move_factor(policy, 10 * 3_600_000), move_factor(policy, 15 * 3_600_000)
     (20.0, 1.0)
     """
-    factors = [w.factor for w in policy.windows if w.holds(time_of_day % DAY)]
+    factors = [
+        w.factor for w in policy.move_windows if w.contains(time_of_day % DAY_MS)
+    ]
     return max(factors, default=1.0)
--- a/src/azurefold/core/balance/popularity.py
+++ b/src/azurefold/core/balance/popularity.py
@@ -6,7 +6,7 @@
 
 from azurefold.core.clock import SECOND, Millis
 
-__all__ = ["Popularity", "new_popularity", "observe"]
+__all__ = ["Popularity", "new_popularity", "update_popularity"]
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,7 +43,7 @@
     return Popularity((0.0,) * n_experts, None, time_constant)
 
 
-def observe(
+def update_popularity(
     popularity: Popularity, counts: Sequence[int], span: Millis, now: Millis
 ) -> Popularity:
     """Take in the tokens counted for each expert over the last ``span``.
@@ -69,7 +69,7 @@
 
     Examples
     --------
-    >>> observe(new_popularity(2, 60_000), [500, 1_500], 1_000, now=0).rates
+    >>> update_popularity(new_popularity(2, 60_000), [500, 1_500], 1_000, now=0).rates
     (500.0, 1500.0)
     """
     if len(counts) != len(popularity.rates):
--- a/src/azurefold/core/balance/proposal.py
+++ b/src/azurefold/core/balance/proposal.py
@@ -7,18 +7,20 @@
 from azurefold.core.balance.placement import Assignment
 from azurefold.core.balance.straggler import Straggler
 
-__all__ = ["JudgedMove", "LayerProposal", "LayerView", "Proposal", "Reason"]
+__all__ = ["EvaluatedMove", "LayerProposal", "LayerView", "Proposal", "MoveReason"]
 
 
-class Reason(Enum):
+class MoveReason(Enum):
     """Why a move was taken, or was not."""
 
-    PAYS = "its gain pays for it"
+    GAIN_ABOVE_COST = "its gain pays for it"
     NO_GAIN = "it would not lower the slowest rank"
     GAIN_BELOW_COST = "its gain does not pay for it"
-    DEAR_WINDOW = "it would pay, but not at the price of the present window"
-    LOADS_SPENT = "it would pay, but the weight loads of this interval are spent"
-    ANOTHER_FIRST = "another move gained more, and after it this one must be tried anew"
+    WINDOW_TOO_COSTLY = "it would pay, but not at the price of the present window"
+    LOAD_LIMIT_REACHED = "it would pay, but the weight loads of this interval are spent"
+    OTHER_MOVE_CHOSEN = (
+        "another move gained more, and after it this one must be tried anew"
+    )
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class JudgedMove:
+class EvaluatedMove:
     """A move that was tried, and the verdict.
 
     Parameters
@@ -55,14 +57,14 @@
         Price of the excess that it saves over the life of the drift.
     cost : float
         Price of its weight loads at the present time of day.
-    reason : Reason
+    reason : MoveReason
         Why it was taken or not.
     """
 
     move: Move
     gain: float
     cost: float
-    reason: Reason
+    reason: MoveReason
 
 
 @dataclass(frozen=True, slots=True)
@@ -75,23 +77,23 @@
         What was decided on.
     assignment : Assignment
         Placement and shares proposed; those of the view if nothing changes.
-    excess_before, excess_shared, excess_after : float
+    excess_before, excess_after_resharing, excess_after : float
         Excess of the slowest rank over the lower bound as it is, with new shares
         alone, and as proposed.
-    taken, not_taken : tuple of JudgedMove
+    accepted, rejected : tuple of EvaluatedMove
         The moves in the order in which they were tried.
     """
 
     view: LayerView
     assignment: Assignment
     excess_before: float
-    excess_shared: float
+    excess_after_resharing: float
     excess_after: float
-    taken: tuple[JudgedMove, ...]
-    not_taken: tuple[JudgedMove, ...]
+    accepted: tuple[EvaluatedMove, ...]
+    rejected: tuple[EvaluatedMove, ...]
 
     @property
-    def changed(self) -> bool:
+    def is_changed(self) -> bool:
         """Whether a new map has to be put in force."""
         return self.assignment is not self.view.assignment
 
@@ -106,7 +108,7 @@
         One for each layer, in the order of the views.
     move_factor : float
         By how much moves are dearer at this time of day.
-    loads_used, loads_allowed : int
+    weight_loads_used, weight_loads_allowed : int
         Weight loads that the taken moves need, and the limit of the interval.
     stragglers : tuple of Straggler
         Ranks that are slow as such.
@@ -114,6 +116,6 @@
 
     layers: tuple[LayerProposal, ...]
     move_factor: float
-    loads_used: int
-    loads_allowed: int
+    weight_loads_used: int
+    weight_loads_allowed: int
     stragglers: tuple[Straggler, ...]
--- a/src/azurefold/core/balance/search.py
+++ b/src/azurefold/core/balance/search.py
@@ -4,28 +4,35 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field, replace
 
-from azurefold.core.balance.candidates import candidates, slow_count
-from azurefold.core.balance.moves import Move, apply_move, weight_loads
-from azurefold.core.balance.policy import BalancePolicy, Split, move_factor
+from azurefold.core.balance.candidates import find_candidate_moves, slow_count
+from azurefold.core.balance.moves import Move, apply_move, count_weight_loads
+from azurefold.core.balance.policy import BalancePolicy, ReplicaSplit, move_factor
 from azurefold.core.balance.proposal import (
-    JudgedMove,
+    EvaluatedMove,
     LayerProposal,
     LayerView,
+    MoveReason,
     Proposal,
-    Reason,
 )
-from azurefold.core.balance.shares import RankLoads, assign, level, rank_loads_of
+from azurefold.core.balance.shares import (
+    LayerLoads,
+    balance_replica_loads,
+    build_assignment,
+    build_layer_loads,
+)
 from azurefold.core.balance.straggler import Straggler
 from azurefold.core.clock import Millis
 
-__all__ = ["objective", "propose", "propose_layer"]
+__all__ = ["compute_cost", "propose_rebalance", "propose_layer"]
 
 _TRIAL_SWEEPS = 6
 _MAX_ROUNDS = 3
 _MAX_TRIALS = 10
 
 
-def objective(policy: BalancePolicy, excess: float, loads: int, factor: float) -> float:
+def compute_cost(
+    policy: BalancePolicy, excess: float, loads: int, factor: float
+) -> float:
     """Return the price of an excess kept and weight loads made; lower is better.
 
     Parameters
@@ -39,7 +46,7 @@
     factor : float
         By how much moves are dearer now.
     """
-    return policy.price_of_excess * excess + _cost(policy, loads, factor)
+    return policy.excess_cost * excess + _cost(policy, loads, factor)
 
 
 def _cost(policy: BalancePolicy, loads: int, factor: float) -> float:
@@ -47,7 +54,7 @@
     return policy.move_weight * loads * factor if loads else 0.0
 
 
-def propose(
+def propose_rebalance(
     views: Sequence[LayerView],
     policy: BalancePolicy,
     time_of_day: Millis,
@@ -66,22 +73,24 @@
     stragglers : tuple of Straggler
         Ranks found slow, for the report; their speeds are in the views.
     """
-    left = policy.max_loads
+    left = policy.max_weight_loads
     decided: dict[int, LayerProposal] = {}
     for index in sorted(range(len(views)), key=lambda i: (-_excess(views[i]), i)):
         decided[index] = propose_layer(views[index], policy, time_of_day, left)
-        left -= sum(weight_loads(judged.move) for judged in decided[index].taken)
+        left -= sum(
+            count_weight_loads(judged.move) for judged in decided[index].accepted
+        )
     return Proposal(
         layers=tuple(decided[index] for index in range(len(views))),
         move_factor=move_factor(policy, time_of_day),
-        loads_used=policy.max_loads - left,
-        loads_allowed=policy.max_loads,
+        weight_loads_used=policy.max_weight_loads - left,
+        weight_loads_allowed=policy.max_weight_loads,
         stragglers=stragglers,
     )
 
 
 def _excess(view: LayerView) -> float:
-    return rank_loads_of(view.assignment, view.rates, view.speeds).excess
+    return build_layer_loads(view.assignment, view.rates, view.speeds).excess
 
 
 def propose_layer(
@@ -103,7 +112,7 @@
     loads_left : int
         Weight loads that may still be made in this interval.
     """
-    state = rank_loads_of(view.assignment, view.rates, view.speeds)
+    state = build_layer_loads(view.assignment, view.rates, view.speeds)
     before = state.excess
     if before <= policy.tolerated_excess:
         return LayerProposal(view, view.assignment, before, before, before, (), ())
@@ -112,34 +121,36 @@
     search = _Search(view, policy, move_factor(policy, time_of_day), loads_left, state)
     search.run()
     after = search.state.excess
-    worth_a_map = before - shared > policy.reshare_gain or search.taken
+    worth_a_map = before - shared > policy.min_reshare_gain or search.taken
     if not worth_a_map:
         assignment, after = view.assignment, before
     else:
         slots = view.assignment.placement.slots_per_rank
-        assignment = assign(search.state, slots)
+        assignment = build_assignment(search.state, slots)
     return LayerProposal(
         view=view,
         assignment=assignment,
         excess_before=before,
-        excess_shared=shared,
+        excess_after_resharing=shared,
         excess_after=after,
-        taken=tuple(search.taken),
-        not_taken=search.left,
+        accepted=tuple(search.taken),
+        rejected=search.left,
     )
 
 
-def _split(state: RankLoads, split: Split, max_sweeps: int | None = None) -> None:
+def _split(
+    state: LayerLoads, split: ReplicaSplit, max_sweeps: int | None = None
+) -> None:
     match split:
-        case Split.LEVEL if max_sweeps is None:
-            level(state)
-        case Split.LEVEL:
-            level(state, max_sweeps)
-        case Split.EVEN:
+        case ReplicaSplit.LEVEL if max_sweeps is None:
+            balance_replica_loads(state)
+        case ReplicaSplit.LEVEL:
+            balance_replica_loads(state, max_sweeps)
+        case ReplicaSplit.EVEN:
             _split_evenly(state)
 
 
-def _split_evenly(state: RankLoads) -> None:
+def _split_evenly(state: LayerLoads) -> None:
     state.totals = [0.0] * len(state.totals)
     for expert, hosts in enumerate(state.hosts):
         part = state.loads[expert] / len(hosts)
@@ -152,8 +163,8 @@
 class _Trial:
     """A move, and the state that it leads to."""
 
-    judged: JudgedMove
-    state: RankLoads
+    judged: EvaluatedMove
+    state: LayerLoads
 
 
 @dataclass(slots=True)
@@ -164,13 +175,13 @@
     policy: BalancePolicy
     factor: float
     loads_left: int
-    state: RankLoads
-    taken: list[JudgedMove] = field(default_factory=list)
-    not_taken: list[JudgedMove] = field(default_factory=list)
+    state: LayerLoads
+    taken: list[EvaluatedMove] = field(default_factory=list)
+    not_taken: list[EvaluatedMove] = field(default_factory=list)
     tried: int = 0
 
     @property
-    def left(self) -> tuple[JudgedMove, ...]:
+    def left(self) -> tuple[EvaluatedMove, ...]:
         """The moves tried and not taken, each with the verdict it got last."""
         last = {judged.move: judged for judged in self.not_taken}
         taken = {judged.move for judged in self.taken}
@@ -186,36 +197,40 @@
 
     def _take_best(self) -> bool:
         trials = self._trials(self.state)
-        paying = [trial for trial in trials if trial.judged.reason is Reason.PAYS]
+        paying = [
+            trial
+            for trial in trials
+            if trial.judged.reason is MoveReason.GAIN_ABOVE_COST
+        ]
         best = max(paying, key=_surplus, default=None)
         taken = [best] if best else self._paying_pair(trials)
         self.not_taken += [_second(t.judged) for t in trials if t not in taken]
         if not taken:
             return False
         self.taken += [trial.judged for trial in taken]
-        self.loads_left -= sum(weight_loads(trial.judged.move) for trial in taken)
+        self.loads_left -= sum(count_weight_loads(trial.judged.move) for trial in taken)
         self.state = taken[-1].state
         _split(self.state, self.policy.split)
         return True
 
-    def _trials(self, start: RankLoads) -> list[_Trial]:
+    def _trials(self, start: LayerLoads) -> list[_Trial]:
         slots = self.view.assignment.placement.slots_per_rank
-        moves = candidates(start, slots, self.policy.split)
+        moves = find_candidate_moves(start, slots, self.policy.split)
         # Each trial costs about a millisecond. Without a limit a layer far from
         # level holds up all others; what is left waits for the next decision.
         moves = moves[: _MAX_TRIALS - self.tried]
         self.tried += len(moves)
         return [self._try(move, start) for move in moves]
 
-    def _try(self, move: Move, start: RankLoads) -> _Trial:
+    def _try(self, move: Move, start: LayerLoads) -> _Trial:
         state = start.copy()
         apply_move(state, move)
         _split(state, self.policy.split, _TRIAL_SWEEPS)
         saved = self.state.excess - state.excess
-        gain = self.policy.price_of_excess * saved
-        loads = weight_loads(move)
+        gain = self.policy.excess_cost * saved
+        loads = count_weight_loads(move)
         cost = _cost(self.policy, loads, self.factor)
-        return _Trial(JudgedMove(move, gain, cost, self._judge(loads, gain)), state)
+        return _Trial(EvaluatedMove(move, gain, cost, self._judge(loads, gain)), state)
 
     def _paying_pair(self, trials: list[_Trial]) -> list[_Trial]:
         """Return two moves that pay only together, or nothing.
@@ -230,41 +245,47 @@
             return []
         first = min(halves, key=lambda trial: slow_count(trial.state))
         pairs = [self._pair(first, then) for then in self._trials(first.state)]
-        paying = [pair for pair in pairs if pair[0].judged.reason is Reason.PAYS]
+        paying = [
+            pair
+            for pair in pairs
+            if pair[0].judged.reason is MoveReason.GAIN_ABOVE_COST
+        ]
         return max(paying, key=lambda pair: _surplus(pair[0]), default=[])
 
     def _pair(self, first: _Trial, then: _Trial) -> list[_Trial]:
         """Judge two moves as one, their gain shared out by their weight loads."""
         moves = (first.judged.move, then.judged.move)
-        loads = [weight_loads(move) for move in moves]
+        loads = [count_weight_loads(move) for move in moves]
         reason = self._judge(sum(loads), then.judged.gain)
         if not all(loads):
-            return [_Trial(replace(then.judged, reason=Reason.NO_GAIN), then.state)]
+            return [_Trial(replace(then.judged, reason=MoveReason.NO_GAIN), then.state)]
         gains = [then.judged.gain * part / sum(loads) for part in loads]
         costs = [_cost(self.policy, part, self.factor) for part in loads]
         states = (first.state, then.state)
         return [
-            _Trial(JudgedMove(move, gain, cost, reason), state)
+            _Trial(EvaluatedMove(move, gain, cost, reason), state)
             for move, gain, cost, state in zip(moves, gains, costs, states, strict=True)
         ]
 
-    def _judge(self, loads: int, gain: float) -> Reason:
+    def _judge(self, loads: int, gain: float) -> MoveReason:
         if gain <= 0:
-            return Reason.NO_GAIN
+            return MoveReason.NO_GAIN
         if gain <= _cost(self.policy, loads, 1.0):
-            return Reason.GAIN_BELOW_COST
+            return MoveReason.GAIN_BELOW_COST
         if gain <= _cost(self.policy, loads, self.factor):
-            return Reason.DEAR_WINDOW
+            return MoveReason.WINDOW_TOO_COSTLY
         if loads > self.loads_left:
-            return Reason.LOADS_SPENT
-        return Reason.PAYS
+            return MoveReason.LOAD_LIMIT_REACHED
+        return MoveReason.GAIN_ABOVE_COST
 
 
 def _surplus(trial: _Trial) -> float:
     return trial.judged.gain - trial.judged.cost
 
 
-def _second(judged: JudgedMove) -> JudgedMove:
-    if judged.reason is not Reason.PAYS:
+def _second(judged: EvaluatedMove) -> EvaluatedMove:
+    if judged.reason is not MoveReason.GAIN_ABOVE_COST:
         return judged
-    return JudgedMove(judged.move, judged.gain, judged.cost, Reason.ANOTHER_FIRST)
+    return EvaluatedMove(
+        judged.move, judged.gain, judged.cost, MoveReason.OTHER_MOVE_CHOSEN
+    )
--- a/src/azurefold/core/balance/shares.py
+++ b/src/azurefold/core/balance/shares.py
@@ -1,18 +1,24 @@
-"""Split the load of replicated experts so that the ranks come out level."""
+"""ReplicaSplit the load of replicated experts so that the ranks come out level."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
 
 from azurefold.core.balance.placement import Assignment, Placement
 
-__all__ = ["RankLoads", "assign", "excess", "level", "rank_loads_of"]
+__all__ = [
+    "LayerLoads",
+    "balance_replica_loads",
+    "build_assignment",
+    "build_layer_loads",
+    "compute_excess",
+]
 
 _MAX_SWEEPS = 60
 _CONVERGED = 2e-4
 
 
 @dataclass(slots=True)
-class RankLoads:
+class LayerLoads:
     """Loads of all ranks under one placement, open to change.
 
     Parameters
@@ -49,11 +55,11 @@
     @property
     def excess(self) -> float:
         """By which share the slowest rank is above the lower bound."""
-        return excess(self.totals, self.speeds)
+        return compute_excess(self.totals, self.speeds)
 
-    def copy(self) -> "RankLoads":
+    def copy(self) -> "LayerLoads":
         """Return a copy in which hosts and parts can be changed freely."""
-        return RankLoads(
+        return LayerLoads(
             self.loads,
             self.speeds,
             [list(hosts) for hosts in self.hosts],
@@ -62,12 +68,12 @@
         )
 
 
-def excess(rank_loads: Sequence[float], speeds: Sequence[float]) -> float:
+def compute_excess(rank_loads: Sequence[float], speeds: Sequence[float]) -> float:
     """Return by which share the slowest rank is above the fractional lower bound.
 
     Examples
     --------
-    >>> excess([3.0, 1.0], [1.0, 1.0])
+    >>> compute_excess([3.0, 1.0], [1.0, 1.0])
     0.5
     """
     total = sum(rank_loads)
@@ -78,9 +84,9 @@
     return slowest * sum(speeds) / total - 1.0
 
 
-def rank_loads_of(
+def build_layer_loads(
     assignment: Assignment, loads: Sequence[float], speeds: Sequence[float]
-) -> RankLoads:
+) -> LayerLoads:
     """Return the loads of all ranks under ``assignment``."""
     hosts = [list(of_expert) for of_expert in assignment.placement.hosts]
     parts = [
@@ -88,10 +94,10 @@
         for load, shares in zip(loads, assignment.shares, strict=True)
     ]
     totals = assignment.rank_loads(loads)
-    return RankLoads(list(loads), list(speeds), hosts, parts, totals)
+    return LayerLoads(list(loads), list(speeds), hosts, parts, totals)
 
 
-def level(state: RankLoads, max_sweeps: int = _MAX_SWEEPS) -> None:
+def balance_replica_loads(state: LayerLoads, max_sweeps: int = _MAX_SWEEPS) -> None:
     """Move load between replicas until the slowest rank gains no more.
 
     One expert at a time is filled like water over its hosts. Each filling lowers
@@ -112,7 +118,7 @@
             return
 
 
-def _fill(state: RankLoads, expert: int) -> None:
+def _fill(state: LayerLoads, expert: int) -> None:
     hosts = state.hosts[expert]
     if len(hosts) == 2:
         _fill_two(state, expert)
@@ -135,7 +141,7 @@
         totals[rank] += part
 
 
-def _fill_two(state: RankLoads, expert: int) -> None:
+def _fill_two(state: LayerLoads, expert: int) -> None:
     """Do the same for two hosts, the common case, without sorting."""
     one, two = state.hosts[expert]
     parts = state.parts[expert]
@@ -151,7 +157,7 @@
     totals[two] = base_two + parts[1]
 
 
-def assign(state: RankLoads, slots_per_rank: int) -> Assignment:
+def build_assignment(state: LayerLoads, slots_per_rank: int) -> Assignment:
     """Return the placement and shares that ``state`` has come to."""
     ranks: list[list[int]] = [[] for _ in state.totals]
     shares = []
@@ -163,7 +169,7 @@
     return Assignment(placement, tuple(shares))
 
 
-def _shares(state: RankLoads, expert: int) -> tuple[float, ...]:
+def _shares(state: LayerLoads, expert: int) -> tuple[float, ...]:
     hosts = state.hosts[expert]
     parts = [part for _, part in sorted(zip(hosts, state.parts[expert], strict=True))]
     total = sum(parts)
--- a/src/azurefold/core/balance/straggler.py
+++ b/src/azurefold/core/balance/straggler.py
@@ -6,7 +6,14 @@
 
 from azurefold.core.clock import Millis
 
-__all__ = ["RankPace", "Straggler", "new_paces", "observe_step", "speeds", "stragglers"]
+__all__ = [
+    "RankPace",
+    "Straggler",
+    "initial_paces",
+    "update_paces",
+    "planning_speeds",
+    "find_stragglers",
+]
 
 SLOW_FROM = 1.15
 SOUND_BELOW = 1.08
@@ -52,12 +59,12 @@
     slow_for: Millis
 
 
-def new_paces(n_ranks: int) -> tuple[RankPace, ...]:
+def initial_paces(n_ranks: int) -> tuple[RankPace, ...]:
     """Return the paces of a group in which every rank counts as sound."""
     return (RankPace(),) * n_ranks
 
 
-def observe_step(
+def update_paces(
     paces: tuple[RankPace, ...],
     loads: Sequence[float],
     times: Sequence[float],
@@ -119,7 +126,7 @@
     return RankPace(smoothed, 0, None)
 
 
-def speeds(paces: tuple[RankPace, ...]) -> tuple[float, ...]:
+def planning_speeds(paces: tuple[RankPace, ...]) -> tuple[float, ...]:
     """Return the speed to plan with for each rank; 1.0 unless it is slow."""
     return tuple(
         1.0 if pace.slow_since is None else 1.0 / max(pace.slowdown, 1.0)
@@ -127,7 +134,7 @@
     )
 
 
-def stragglers(paces: tuple[RankPace, ...], now: Millis) -> tuple[Straggler, ...]:
+def find_stragglers(paces: tuple[RankPace, ...], now: Millis) -> tuple[Straggler, ...]:
     """Return the ranks to report as slow at ``now``."""
     return tuple(
         Straggler(rank, pace.slowdown, now - pace.slow_since)
--- a/src/azurefold/core/groups/popularity.py
+++ b/src/azurefold/core/groups/popularity.py
@@ -3,15 +3,19 @@
 from dataclasses import dataclass
 
 from azurefold.core.balance.placement import Assignment
-from azurefold.core.balance.popularity import Popularity, new_popularity, observe
+from azurefold.core.balance.popularity import (
+    Popularity,
+    new_popularity,
+    update_popularity,
+)
 from azurefold.core.balance.proposal import LayerView
 from azurefold.core.balance.straggler import (
     RankPace,
     Straggler,
-    new_paces,
-    observe_step,
-    speeds,
-    stragglers,
+    find_stragglers,
+    initial_paces,
+    planning_speeds,
+    update_paces,
 )
 from azurefold.core.clock import Millis
 
@@ -79,19 +83,19 @@
         span = now - self.reported_at
         if not begun or span <= 0:
             return GroupPopularity(
-                self.interval, reports, now, paces=new_paces(len(reports))
+                self.interval, reports, now, paces=initial_paces(len(reports))
             )
         counts = _group_counts(self.reports, reports)
         known = self.layers or tuple(
             new_popularity(len(layer), self.interval) for layer in counts
         )
         layers = tuple(
-            observe(popularity, layer, span, now)
+            update_popularity(popularity, layer, span, now)
             for popularity, layer in zip(known, counts, strict=True)
         )
         work = _grown([r.work for r in self.reports], [r.work for r in reports])
         busy = _grown([r.busy_us for r in self.reports], [r.busy_us for r in reports])
-        paces = observe_step(self.paces, work, busy, now)
+        paces = update_paces(self.paces, work, busy, now)
         return GroupPopularity(self.interval, reports, now, layers, paces)
 
     @property
@@ -108,7 +112,7 @@
     def views(self) -> tuple[LayerView, ...]:
         """Return the layers for the decision, those without tokens left out."""
         assignments = self.reports[0].layers
-        rank_speeds = speeds(self.paces)
+        rank_speeds = planning_speeds(self.paces)
         pairs = zip(self.layers, assignments, strict=True)
         return tuple(
             LayerView(number, popularity.rates, assignment, rank_speeds)
@@ -118,7 +122,7 @@
 
     def stragglers(self, now: Millis) -> tuple[Straggler, ...]:
         """Return the ranks that are slow as such."""
-        return stragglers(self.paces, now)
+        return find_stragglers(self.paces, now)
 
 
 def new_group_popularity(interval: Millis) -> GroupPopularity:
--- a/src/azurefold/core/objectives/burn.py
+++ b/src/azurefold/core/objectives/burn.py
@@ -4,16 +4,22 @@
 from dataclasses import dataclass, field
 
 from azurefold.core.clock import SECOND, Millis
-from azurefold.core.objectives.counts import NOTHING, Counts, History, Observed, Source
+from azurefold.core.objectives.counts import (
+    ZERO_COUNTS,
+    CountHistory,
+    RequestCounts,
+    Source,
+    WindowCounts,
+)
 from azurefold.core.objectives.objective import (
     BURN_WINDOWS,
     Objective,
-    budget_lasts,
-    budget_left,
     burn_rate,
+    remaining_budget,
+    time_to_exhaustion,
 )
 
-__all__ = ["BurnReport", "ObjectiveLog", "Offender", "WindowBurn", "burn_report"]
+__all__ = ["BurnReport", "ObjectiveLog", "Offender", "WindowBurn", "build_burn_report"]
 
 _OFFENDERS_SHOWN = 5
 _STEADY_WINDOW: Millis = 60 * 60 * SECOND
@@ -27,14 +33,14 @@
     ----------
     window : int
         Length in milliseconds.
-    observed : Observed
+    observed : WindowCounts
         What happened, and how much of the window the samples cover.
     rate : float or None
         Burn rate; None when no request came.
     """
 
     window: Millis
-    observed: Observed
+    observed: WindowCounts
     rate: float | None
 
 
@@ -46,7 +52,7 @@
     ----------
     name : str
         Which one.
-    counts : Counts
+    counts : RequestCounts
         Its requests.
     rate : float
         Its own burn rate.
@@ -55,7 +61,7 @@
     """
 
     name: str
-    counts: Counts
+    counts: RequestCounts
     rate: float
     share_of_bad: float
 
@@ -72,7 +78,7 @@
         What is asked for.
     windows : tuple of WindowBurn
         Shortest first.
-    period : Observed
+    period : WindowCounts
         What happened in the objective's period.
     budget_left : float
         Share of the budget left, below 0 if overspent.
@@ -88,7 +94,7 @@
     service: str
     objective: Objective
     windows: tuple[WindowBurn, ...]
-    period: Observed
+    period: WindowCounts
     budget_left: float
     ends_in: Millis | None
     ends_window: Millis
@@ -110,10 +116,10 @@
 
     service: str
     objective: Objective
-    _histories: dict[Source, History] = field(default_factory=dict)
+    _histories: dict[Source, CountHistory] = field(default_factory=dict)
     _visits: dict[str, _Visits] = field(default_factory=dict)
 
-    def add(self, source: Source, counts: Counts, now: Millis) -> None:
+    def add(self, source: Source, counts: RequestCounts, now: Millis) -> None:
         """Take in cumulative counts that ``source`` published.
 
         A process publishes a source only from its first request on. Of a process
@@ -125,21 +131,21 @@
         ----------
         source : Source
             Whose counts.
-        counts : Counts
+        counts : RequestCounts
             Since its process started.
         now : int
             When they were read, in milliseconds.
         """
-        self.visit(source.process, now)
+        self.record_scrape(source.process, now)
         visits = self._visits[source.process]
         history = self._histories.get(source)
         if history is None:
-            history = self._histories[source] = History()
+            history = self._histories[source] = CountHistory()
             if visits.before is not None:
-                history.add(NOTHING, visits.before)
+                history.add(ZERO_COUNTS, visits.before)
         history.add(counts, now)
 
-    def visit(self, process: str, now: Millis) -> None:
+    def record_scrape(self, process: str, now: Millis) -> None:
         """Note that a process was sampled, even if it publishes no source yet.
 
         Parameters
@@ -158,7 +164,7 @@
         for history in self._histories.values():
             history.forget(now - self.objective.period)
 
-    def over(self, window: Millis, now: Millis) -> dict[Source, Observed]:
+    def over(self, window: Millis, now: Millis) -> dict[Source, WindowCounts]:
         """Return what happened within the window that ends ``now``, by source."""
         return {
             source: history.over(window, now)
@@ -166,7 +172,7 @@
         }
 
 
-def burn_report(
+def build_burn_report(
     log: ObjectiveLog, now: Millis, windows: tuple[Millis, ...] = BURN_WINDOWS
 ) -> BurnReport:
     """Return the burn of one objective.
@@ -195,7 +201,7 @@
     burns = tuple(_window_burn(log, window, now) for window in sorted(windows))
     by_source = log.over(objective.period, now)
     period = _together(by_source)
-    left = budget_left(period.counts, objective)
+    left = remaining_budget(period.counts, objective)
     steady = next((b for b in burns if b.window >= _STEADY_WINDOW), burns[-1])
     return BurnReport(
         service=log.service,
@@ -203,7 +209,7 @@
         windows=burns,
         period=period,
         budget_left=left,
-        ends_in=budget_lasts(left, steady.rate, objective),
+        ends_in=time_to_exhaustion(left, steady.rate, objective),
         ends_window=steady.window,
         worst_organisations=_worst(by_source, objective, _organisation),
         worst_endpoints=_worst(by_source, objective, _endpoint),
@@ -215,10 +221,10 @@
     return WindowBurn(window, observed, burn_rate(observed.counts, log.objective))
 
 
-def _together(by_source: dict[Source, Observed]) -> Observed:
-    counts = sum((observed.counts for observed in by_source.values()), NOTHING)
+def _together(by_source: dict[Source, WindowCounts]) -> WindowCounts:
+    counts = sum((observed.counts for observed in by_source.values()), ZERO_COUNTS)
     covered = max((observed.covered for observed in by_source.values()), default=0)
-    return Observed(counts, covered)
+    return WindowCounts(counts, covered)
 
 
 def _organisation(source: Source) -> str:
@@ -230,14 +236,14 @@
 
 
 def _worst(
-    by_source: dict[Source, Observed],
+    by_source: dict[Source, WindowCounts],
     objective: Objective,
     name_of: Callable[[Source], str],
 ) -> tuple[Offender, ...]:
-    by_name: dict[str, Counts] = {}
+    by_name: dict[str, RequestCounts] = {}
     for source, observed in by_source.items():
         name = name_of(source)
-        by_name[name] = by_name.get(name, NOTHING) + observed.counts
+        by_name[name] = by_name.get(name, ZERO_COUNTS) + observed.counts
     bad = sum(counts.bad for counts in by_name.values())
     offenders = [
         Offender(name, counts, rate, counts.bad / bad)
--- a/src/azurefold/core/objectives/counts.py
+++ b/src/azurefold/core/objectives/counts.py
@@ -1,6 +1,6 @@
 """Cumulative counts as processes publish them, and what happened between two.
 
-Counts only grow while a process lives and start from zero when it restarts.
+RequestCounts only grow while a process lives and start from zero when it restarts.
 """
 
 from bisect import bisect_right
@@ -9,11 +9,17 @@
 
 from azurefold.core.clock import Millis
 
-__all__ = ["Counts", "History", "Observed", "Source", "good_from_buckets"]
+__all__ = [
+    "RequestCounts",
+    "CountHistory",
+    "WindowCounts",
+    "Source",
+    "count_good_from_buckets",
+]
 
 
 @dataclass(frozen=True, slots=True)
-class Counts:
+class RequestCounts:
     """Requests counted since a process started.
 
     Parameters
@@ -43,12 +49,12 @@
         """Requests that missed the objective."""
         return self.total - self.good
 
-    def __add__(self, other: "Counts") -> "Counts":
+    def __add__(self, other: "RequestCounts") -> "RequestCounts":
         """Return both together."""
-        return Counts(self.good + other.good, self.total + other.total)
+        return RequestCounts(self.good + other.good, self.total + other.total)
 
 
-NOTHING = Counts(0, 0)
+ZERO_COUNTS = RequestCounts(0, 0)
 
 
 @dataclass(frozen=True, slots=True, order=True)
@@ -71,30 +77,30 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Observed:
+class WindowCounts:
     """What happened in a span of time.
 
     Parameters
     ----------
-    counts : Counts
+    counts : RequestCounts
         Requests within the span.
     covered : int
         Milliseconds of the span for which there are samples.
     """
 
-    counts: Counts
+    counts: RequestCounts
     covered: Millis
 
 
 @dataclass(slots=True)
-class History:
+class CountHistory:
     """Samples of one source for one objective, in the order of their time."""
 
     _times: list[Millis] = field(default_factory=list)
-    _samples: list[Counts] = field(default_factory=list)
-    _grown: list[Counts] = field(default_factory=list)
+    _samples: list[RequestCounts] = field(default_factory=list)
+    _grown: list[RequestCounts] = field(default_factory=list)
 
-    def add(self, counts: Counts, now: Millis) -> None:
+    def add(self, counts: RequestCounts, now: Millis) -> None:
         """Take in a sample.
 
         A total that falls means that the process restarted between the samples,
@@ -114,9 +120,9 @@
         self._times.append(now)
         self._samples.append(counts)
 
-    def _grown_to(self, counts: Counts) -> Counts:
+    def _grown_to(self, counts: RequestCounts) -> RequestCounts:
         if not self._samples:
-            return NOTHING
+            return ZERO_COUNTS
         last, grown = self._samples[-1], self._grown[-1]
         restarted = (
             counts.total < last.total
@@ -125,9 +131,9 @@
         )
         if restarted:
             return grown + counts
-        return grown + Counts(counts.good - last.good, counts.total - last.total)
+        return grown + RequestCounts(counts.good - last.good, counts.total - last.total)
 
-    def over(self, window: Millis, now: Millis) -> Observed:
+    def over(self, window: Millis, now: Millis) -> WindowCounts:
         """Return what happened within the ``window`` that ends ``now``.
 
         Parameters
@@ -139,13 +145,13 @@
         """
         last = bisect_right(self._times, now) - 1
         if last < 0:
-            return Observed(NOTHING, 0)
+            return WindowCounts(ZERO_COUNTS, 0)
         # The last sample at or before the window's start; with a younger history
         # the first one, and `covered` says that the window is not full.
         first = max(0, bisect_right(self._times, now - window) - 1)
         start, end = self._grown[first], self._grown[last]
-        counts = Counts(end.good - start.good, end.total - start.total)
-        return Observed(counts, min(window, self._times[last] - self._times[first]))
+        counts = RequestCounts(end.good - start.good, end.total - start.total)
+        return WindowCounts(counts, min(window, self._times[last] - self._times[first]))
 
     def forget(self, before: Millis) -> None:
         """Drop samples that no window reaching back to ``before`` needs."""
@@ -155,7 +161,7 @@
         del self._grown[:keep_from]
 
 
-def good_from_buckets(
+def count_good_from_buckets(
     buckets: Iterable[tuple[float, int]], threshold: float
 ) -> int | None:
     """Return how many observations of a cumulative histogram met ``threshold``.
@@ -179,7 +185,7 @@
 
     Examples
     --------
-    >>> good_from_buckets([(0.5, 10), (1.0, 30), (2.0, 40)], threshold=1.1)
+    >>> count_good_from_buckets([(0.5, 10), (1.0, 30), (2.0, 40)], threshold=1.1)
     30
     """
     fitting: Sequence[tuple[float, int]] = [
--- a/src/azurefold/core/objectives/objective.py
+++ b/src/azurefold/core/objectives/objective.py
@@ -4,15 +4,15 @@
 from enum import Enum
 
 from azurefold.core.clock import SECOND, Millis
-from azurefold.core.objectives.counts import Counts
+from azurefold.core.objectives.counts import RequestCounts
 
 __all__ = [
     "BURN_WINDOWS",
-    "PERIOD",
+    "DEFAULT_PERIOD",
     "Objective",
     "ObjectiveKind",
-    "budget_left",
-    "budget_lasts",
+    "remaining_budget",
+    "time_to_exhaustion",
     "burn_rate",
 ]
 
@@ -21,7 +21,7 @@
 _DAY: Millis = 24 * _HOUR
 
 BURN_WINDOWS: tuple[Millis, ...] = (5 * _MINUTE, _HOUR, 6 * _HOUR, 3 * _DAY)
-PERIOD: Millis = 30 * _DAY
+DEFAULT_PERIOD: Millis = 30 * _DAY
 
 
 class ObjectiveKind(Enum):
@@ -51,7 +51,7 @@
     kind: ObjectiveKind
     target: float
     threshold: Millis | None = None
-    period: Millis = PERIOD
+    period: Millis = DEFAULT_PERIOD
 
     def __post_init__(self) -> None:
         """Refuse an objective whose budget cannot be reckoned.
@@ -73,12 +73,12 @@
             raise ValueError(f"an objective on {self.kind.value} takes {need}")
 
     @property
-    def allowed(self) -> float:
+    def error_budget(self) -> float:
         """Share of requests that may be bad."""
         return 1.0 - self.target
 
 
-def burn_rate(counts: Counts, objective: Objective) -> float | None:
+def burn_rate(counts: RequestCounts, objective: Objective) -> float | None:
     """Return how fast the budget burns; 1.0 spends it just over the period.
 
     None when no request came: that is not the same as none that failed.
@@ -86,20 +86,20 @@
     Examples
     --------
     >>> objective = Objective(ObjectiveKind.ANSWERED_WHOLE, target=0.99)
-    >>> round(burn_rate(Counts(good=98, total=100), objective), 6)
+    >>> round(burn_rate(RequestCounts(good=98, total=100), objective), 6)
     2.0
     """
     if counts.total == 0:
         return None
-    return counts.bad / counts.total / objective.allowed
+    return counts.bad / counts.total / objective.error_budget
 
 
-def budget_left(counts: Counts, objective: Objective) -> float:
+def remaining_budget(counts: RequestCounts, objective: Objective) -> float:
     """Return the share of the period's budget that is left, below 0 if overspent.
 
     Parameters
     ----------
-    counts : Counts
+    counts : RequestCounts
         Requests of the period so far. The budget is a share of these, so it
         grows with traffic.
     objective : Objective
@@ -109,7 +109,7 @@
     return 1.0 if burnt is None else 1.0 - burnt
 
 
-def budget_lasts(
+def time_to_exhaustion(
     left: float, rate: float | None, objective: Objective
 ) -> Millis | None:
     """Return after how many milliseconds the budget ends at this burn rate.
@@ -132,7 +132,7 @@
     --------
     >>> day = 24 * 3_600_000
     >>> objective = Objective(ObjectiveKind.ANSWERED_WHOLE, 0.99, period=30 * day)
-    >>> budget_lasts(0.5, 3.0, objective) // day
+    >>> time_to_exhaustion(0.5, 3.0, objective) // day
     5
     """
     if left <= 0:
--- a/src/azurefold/core/objectives/text.py
+++ b/src/azurefold/core/objectives/rendering.py
@@ -6,7 +6,7 @@
 from azurefold.core.objectives.burn import BurnReport, Offender, WindowBurn
 from azurefold.core.objectives.objective import Objective
 
-__all__ = ["duration", "render_burn"]
+__all__ = ["format_duration", "render_burn"]
 
 _UNITS = ((86_400 * SECOND, "d"), (3_600 * SECOND, "h"), (60 * SECOND, "min"))
 
@@ -21,11 +21,12 @@
     counts = report.period.counts
     yield f"{report.service}: {_objective(report.objective)}"
     for burn in report.windows:
-        yield f"  last {duration(burn.window)}: {_burn(burn)}"
+        yield f"  last {format_duration(burn.window)}: {_burn(burn)}"
     yield (
         f"  budget left: {report.budget_left:.1%} "
-        f"({counts.bad} bad of {counts.total} in {duration(report.period.covered)} "
-        f"of {duration(report.objective.period)})"
+        f"({counts.bad} bad of {counts.total} "
+        f"in {format_duration(report.period.covered)} "
+        f"of {format_duration(report.objective.period)})"
     )
     yield f"  {_end(report)}"
     yield from _offenders("worst organisations", report.worst_organisations)
@@ -45,17 +46,17 @@
     counts = burn.observed.counts
     text = f"burn rate {burn.rate:.2f} ({counts.bad} bad of {counts.total})"
     if burn.observed.covered < burn.window:
-        text += f", samples cover {duration(burn.observed.covered)} only"
+        text += f", samples cover {format_duration(burn.observed.covered)} only"
     return text
 
 
 def _end(report: BurnReport) -> str:
-    at_rate = f"at the rate of the last {duration(report.ends_window)}"
+    at_rate = f"at the rate of the last {format_duration(report.ends_window)}"
     if report.ends_in is None:
         return f"budget does not end {at_rate}"
     if report.ends_in == 0:
         return "budget is spent"
-    return f"budget ends in {duration(report.ends_in)} {at_rate}"
+    return f"budget ends in {format_duration(report.ends_in)} {at_rate}"
 
 
 def _offenders(title: str, offenders: tuple[Offender, ...]) -> Iterator[str]:
@@ -70,12 +71,12 @@
         )
 
 
-def duration(span: Millis) -> str:
+def format_duration(span: Millis) -> str:
     """Return a span in its largest fitting unit.
 
     Examples
     --------
-    >>> duration(300_000), duration(5_400_000), duration(1_500)
+    >>> format_duration(300_000), format_duration(5_400_000), format_duration(1_500)
     ('5 min', '1.5 h', '1.5 s')
     """
     for unit, name in _UNITS:
--- a/src/azurefold/core/routes/model.py
+++ b/src/azurefold/core/routes/model.py
@@ -55,9 +55,9 @@
         0 goes first.
     max_attempts : int
         Endpoints that one request may be sent to.
-    public : bool
+    is_public : bool
         Whether callers need no key.
-    resumable : bool
+    is_resumable : bool
         Whether a stream may go on at another endpoint.
     """
 
@@ -71,11 +71,11 @@
     event_gap_ms: Millis = 0
     priority: int = 0
     max_attempts: int = 1
-    public: bool = False
-    resumable: bool = False
+    is_public: bool = False
+    is_resumable: bool = False
 
     @property
-    def may_run_twice(self) -> bool:
+    def is_safe_to_rerun(self) -> bool:
         """Whether a second run of a request does no harm."""
         match self.kind:
             case AnswerKind.IDEMPOTENT:
@@ -83,7 +83,7 @@
             case AnswerKind.NON_IDEMPOTENT:
                 return False
             case AnswerKind.STREAMING:
-                return self.resumable
+                return self.is_resumable
 
 
 @dataclass(frozen=True, slots=True)
@@ -94,14 +94,14 @@
     ----------
     slots : int
         Requests that one rank runs at a time.
-    stride : int
+    steps_per_pass : int
         Token steps in one pass of a group.
     step_ms : float
         Milliseconds that each of them takes whatever the requests.
-    layer_sets, experts, places : int
+    layer_sets, experts, expert_slots_per_rank : int
         Sets of layers that share a placement, experts in each, and weights of
         one set that a rank has room for; 0 where experts are not split up.
-    loads_per_change : int
+    max_loads_per_change : int
         Experts of one set that may be new to a rank in one map change.
     expert_mb : float
         Megabytes of one expert's weights.
@@ -112,23 +112,23 @@
     """
 
     slots: int
-    stride: int = 1
+    steps_per_pass: int = 1
     step_ms: float = 0.0
     layer_sets: int = 0
     experts: int = 0
-    places: int = 0
-    loads_per_change: int = 0
+    expert_slots_per_rank: int = 0
+    max_loads_per_change: int = 0
     expert_mb: float = 0.0
     link_mbps: float = 0.0
     form_ms: Millis = 0
 
     @property
-    def load_ms(self) -> float:
+    def expert_load_ms(self) -> float:
         """Milliseconds in which a rank loads one expert."""
         return self.expert_mb * 8_000.0 / self.link_mbps if self.link_mbps else 0.0
 
     @property
-    def splits_experts(self) -> bool:
+    def is_expert_parallel(self) -> bool:
         """Whether ranks of a group share the experts under a map."""
         return self.layer_sets > 0
 
@@ -188,7 +188,7 @@
     services : dict of str to RoutedService
     holders : dict of str to KeyHolder
         By key.
-    needs_keys : bool
+    is_key_required : bool
         Whether requests on routes that are not public need a key.
     limits : CallerLimits
     """
@@ -196,8 +196,8 @@
     version: int
     routes: tuple[Route, ...] = ()
     services: dict[str, RoutedService] = field(default_factory=dict)
-    holders: dict[str, KeyHolder] = field(default_factory=dict)
-    needs_keys: bool = False
+    key_holders: dict[str, KeyHolder] = field(default_factory=dict)
+    is_key_required: bool = False
     limits: CallerLimits = CallerLimits()
 
     def promised_gap_ms(self, service: str) -> Millis:
--- a/src/azurefold/core/routes/table.py
+++ b/src/azurefold/core/routes/table.py
@@ -4,11 +4,11 @@
 
 from azurefold.core.routes.model import Route
 
-__all__ = ["RouteTable", "choose_service", "route_table"]
+__all__ = ["RouteTable", "choose_service", "build_route_table"]
 
 
 class RouteTable:
-    """Routes by host and prefix; made by :func:`route_table`."""
+    """Routes by host and prefix; made by :func:`build_route_table`."""
 
     def __init__(self, by_host: dict[str, dict[str, Route]]) -> None:
         self._by_host = by_host
@@ -30,7 +30,7 @@
         return next((route for route in found if route is not None), None)
 
 
-def route_table(routes: Iterable[Route]) -> RouteTable:
+def build_route_table(routes: Iterable[Route]) -> RouteTable:
     """Return the table of ``routes``.
 
     Examples
@@ -40,7 +40,7 @@
     >>> kind = AnswerKind.IDEMPOTENT
     >>> broad = Route("broad", "a.example", "/", kind, to, 800, 400)
     >>> narrow = Route("narrow", "a.example", "/lots/", kind, to, 800, 400)
-    >>> table = route_table([broad, narrow])
+    >>> table = build_route_table([broad, narrow])
     >>> table.find("A.example:80", "/lots/7").name, table.find("a.example", "/x").name
     ('narrow', 'broad')
     >>> table.find("b.example", "/lots/7") is None
--- a/src/azurefold/gateway/callers/app.py
+++ b/src/azurefold/gateway/callers/app.py
@@ -120,7 +120,7 @@
             arrived=arrived,
             deadline=arrived + wait,
             configuration=configuration.version,
-            passes_key=not configuration.needs_keys,
+            passes_key=not configuration.is_key_required,
         )
 
     def _body(self, environ: Environ, most: int) -> bytes:
@@ -141,10 +141,10 @@
     def _holder(
         self, configuration: RoutingConfiguration, route: Route, head: RequestHead
     ) -> KeyHolder:
-        holder = configuration.holders.get(head.key)
+        holder = configuration.key_holders.get(head.key)
         if holder is not None:
             return holder
-        if route.public or not configuration.needs_keys:
+        if route.is_public or not configuration.is_key_required:
             return KeyHolder("")
         raise self._unknown(401, "unknown_key")
 
--- a/src/azurefold/gateway/callers/relay.py
+++ b/src/azurefold/gateway/callers/relay.py
@@ -91,8 +91,8 @@
     def __post_init__(self) -> None:
         route = self.call.route
         self._course = Course(
-            idempotent=route.may_run_twice,
-            resumable=route.kind is AnswerKind.STREAMING and route.resumable,
+            idempotent=route.is_safe_to_rerun,
+            resumable=route.kind is AnswerKind.STREAMING and route.is_resumable,
         )
 
     def run(self) -> Iterator[Part]:
--- a/src/azurefold/gateway/endpoints/attempt.py
+++ b/src/azurefold/gateway/endpoints/attempt.py
@@ -118,7 +118,7 @@
         if self.state.crashes.quarantine(self.call.identity, self.state.clock.now()):
             # Endpoints may have crashed while the request was queued.
             return NotDispatched(CRASHES_ENDPOINTS)
-        fresh = not self.call.route.may_run_twice
+        fresh = not self.call.route.is_safe_to_rerun
         try:
             links = self.state.links
             self._link = links.take(self.endpoint, entry.address, fresh=fresh)
--- a/src/azurefold/gateway/groups/changes.py
+++ b/src/azurefold/gateway/groups/changes.py
@@ -173,10 +173,10 @@
 
     def _load_ms(self, plan: MapPlan) -> Millis | None:
         """Return how long the rank with most to load needs; None if it isn't known."""
-        load_ms = self.watch.service.view.engine.load_ms
+        load_ms = self.watch.service.view.engine.expert_load_ms
         if not load_ms:
             return None
-        return round(max(plan.loads_of_ranks, default=0) * load_ms * _LOAD_MARGIN)
+        return round(max(plan.weight_loads_by_rank, default=0) * load_ms * _LOAD_MARGIN)
 
     def _act(self, actions: Iterable[ChangeAction]) -> None:
         for action in actions:
--- a/src/azurefold/gateway/groups/control.py
+++ b/src/azurefold/gateway/groups/control.py
@@ -115,7 +115,7 @@
             in_force=view.version,
             skew=f"{plan.skew_before:.2f}",
             planned_skew=f"{plan.skew_after:.2f}",
-            loads=plan.loads,
+            loads=plan.weight_loads,
             samples=self._planned_samples,
             pass_ms=f"{view.pass_ms:.1f}",
             promised_gap_ms=self.watch.service.promised_gap_ms,
--- a/src/azurefold/gateway/groups/map_planning.py
+++ b/src/azurefold/gateway/groups/map_planning.py
@@ -5,8 +5,8 @@
 
 import gevent
 
-from azurefold.core.balance.plan import LoadLimits, MapPlan, plan_layers
-from azurefold.core.balance.policy import BalancePolicy, Split
+from azurefold.core.balance.plan import MapPlan, WeightLoadLimits, plan_layers
+from azurefold.core.balance.policy import BalancePolicy, ReplicaSplit
 from azurefold.core.clock import Millis
 from azurefold.core.routes.model import Engine, RoutedService
 from azurefold.gateway.groups.view import GroupView
@@ -92,7 +92,7 @@
 
 def is_worth_balancing(view: RoutedService) -> bool:
     """Whether a service has groups whose maps can be changed."""
-    return view.engine is not None and view.engine.splits_experts
+    return view.engine is not None and view.engine.is_expert_parallel
 
 
 def sampling_of(size: int, samples: int, engine: Engine, pass_share: float) -> Sampling:
@@ -134,7 +134,7 @@
     """
     speeds = tuple(1.0 / max(1.0, view.views[rank].pace) for rank in range(view.size))
     policy = _policy(engine)
-    limits = LoadLimits(engine.loads_per_change, _loads_of_a_rank(engine))
+    limits = WeightLoadLimits(engine.max_loads_per_change, _loads_of_a_rank(engine))
     steps = plan_layers(view.placements, popularity, speeds, policy, limits)
     for number, plan in enumerate(steps):
         if plan is not None:
@@ -146,9 +146,9 @@
 
 def _loads_of_a_rank(engine: Engine) -> int:
     """Return how many experts one change may load at a rank, over all layers."""
-    if not engine.load_ms:
-        return engine.loads_per_change * engine.layer_sets
-    return max(1, round(_LOADING_MS / engine.load_ms))
+    if not engine.expert_load_ms:
+        return engine.max_loads_per_change * engine.layer_sets
+    return max(1, round(_LOADING_MS / engine.expert_load_ms))
 
 
 def is_worth_changing(plan: MapPlan, share: float) -> bool:
@@ -166,8 +166,8 @@
     return BalancePolicy(
         skew_weight=1.0,
         move_weight=_GIGABYTE_WEIGHT * gigabytes * engine.layer_sets,
-        drift_life=_DRIFT_LIFE_MS,
-        max_loads=_MOST_LOADS,
+        placement_lifetime=_DRIFT_LIFE_MS,
+        max_weight_loads=_MOST_LOADS,
         tolerated_excess=_TOLERATED_EXCESS,
-        split=Split.EVEN,
+        split=ReplicaSplit.EVEN,
     )
--- a/src/azurefold/gateway/groups/watch.py
+++ b/src/azurefold/gateway/groups/watch.py
@@ -8,7 +8,7 @@
 from itertools import zip_longest
 
 from azurefold.core.balance.placement import Placement
-from azurefold.core.balance.plan import map_zero
+from azurefold.core.balance.plan import initial_placement
 from azurefold.core.clock import Millis
 from azurefold.core.groups.samples import SampledPopularity
 from azurefold.gateway.groups.rank_calls import RankCalls
@@ -310,7 +310,9 @@
             return True
         engine = self.service.view.engine
         if version == 0:
-            zero = map_zero(engine.experts, engine.places, view.size)
+            zero = initial_placement(
+                engine.experts, engine.expert_slots_per_rank, view.size
+            )
             self.map_is(version, (zero,) * engine.layer_sets)
             return True
         held = self._ask_ranks(RankClient.held_experts)
@@ -320,7 +322,7 @@
         self.map_is(
             version,
             tuple(
-                Placement(engine.experts, engine.places, tuple(ranks))
+                Placement(engine.experts, engine.expert_slots_per_rank, tuple(ranks))
                 for ranks in layers
             ),
         )
--- a/src/azurefold/gateway/service_state.py
+++ b/src/azurefold/gateway/service_state.py
@@ -100,7 +100,7 @@
     def is_group(self) -> bool:
         """Whether its endpoints are ranks that run in lock-step."""
         engine = self.view.engine
-        return engine is not None and engine.splits_experts
+        return engine is not None and engine.is_expert_parallel
 
     def dealt_at(self, endpoint: str) -> Millis:
         """Return since when this node's cell sends to an endpoint."""
@@ -178,7 +178,7 @@
     def _limit_passes(self, group: int, gap: Millis, now: Millis) -> None:
         """Let a group have fewer requests while its passes are long."""
         engine = self.view.engine
-        fixed = engine.stride * engine.step_ms
+        fixed = engine.steps_per_pass * engine.step_ms
         limit = self._limits.setdefault(group, PassLimit(fixed))
         if not limit.is_due(now):
             return
--- a/src/azurefold/gateway/state.py
+++ b/src/azurefold/gateway/state.py
@@ -14,7 +14,7 @@
 from azurefold.core.membership.renewal import RenewalTimes, Turn, renewal_times
 from azurefold.core.membership.store_time import StoreTime
 from azurefold.core.routes.model import RoutingConfiguration
-from azurefold.core.routes.table import RouteTable, route_table
+from azurefold.core.routes.table import RouteTable, build_route_table
 from azurefold.core.routing.cells import Cell
 from azurefold.core.routing.peer_loads import endpoint_hash
 from azurefold.core.routing.quota_sharers import QuotaSharers
@@ -114,7 +114,7 @@
     registry: EndpointRegistry = field(default_factory=EndpointRegistry)
     services: dict[str, GatewayService] = field(default_factory=dict)
     configuration: RoutingConfiguration | None = None
-    routes: RouteTable = field(default_factory=lambda: route_table(()))
+    routes: RouteTable = field(default_factory=lambda: build_route_table(()))
     draining: bool = False
     drain_began: Millis = 0
     in_flight: int = 0
@@ -253,7 +253,7 @@
             not in force then, and it has to be applied again.
         """
         self.configuration = configuration
-        self.routes = route_table(configuration.routes)
+        self.routes = build_route_table(configuration.routes)
         failures = []
         for view in configuration.services.values():
             try:
--- a/src/azurefold/gateway/store/news.py
+++ b/src/azurefold/gateway/store/news.py
@@ -176,7 +176,7 @@
             before=before,
             row=self._tried_row,
             routes=len(configuration.routes),
-            keys=len(configuration.holders),
+            keys=len(configuration.key_holders),
         )
 
     def _entry(self, row: StoredRow) -> EndpointEntry | None:
--- a/src/azurefold/platform/configuration.py
+++ b/src/azurefold/platform/configuration.py
@@ -157,12 +157,12 @@
         version=read.version,
         routes=routes,
         services={each.name: _service(each) for each in read.services},
-        holders={
+        key_holders={
             key: KeyHolder(tenant.name, tenant.priority)
             for tenant in tenants
             for key in tenant.keys
         },
-        needs_keys=bool(tenants),
+        is_key_required=bool(tenants),
         limits=_limits(read.limits),
     )
 
@@ -181,8 +181,8 @@
         event_gap_ms=int(read.event_gap_ms),
         priority=read.priority,
         max_attempts=read.max_attempts,
-        public=read.public,
-        resumable=read.resumable,
+        is_public=read.public,
+        is_resumable=read.resumable,
     )
 
 
@@ -192,12 +192,12 @@
         return RoutedService(read.name, read.max_connections)
     decoded = Engine(
         slots=engine.slots,
-        stride=engine.stride,
+        steps_per_pass=engine.stride,
         step_ms=engine.step_ms,
         layer_sets=engine.layer_sets,
         experts=engine.experts,
-        places=engine.places,
-        loads_per_change=engine.loads_per_change,
+        expert_slots_per_rank=engine.places,
+        max_loads_per_change=engine.loads_per_change,
         expert_mb=engine.expert_mb,
         link_mbps=engine.link_mbps,
         form_ms=int(engine.form_ms),
--- a/src/azurefold_standins/experts.py
+++ b/src/azurefold_standins/experts.py
@@ -3,8 +3,8 @@
 from dataclasses import dataclass, field
 from zlib import crc32
 
-from azurefold.core.balance.packing import pack
-from azurefold.core.balance.placement import Assignment, even_assignment
+from azurefold.core.balance.packing import pack_experts
+from azurefold.core.balance.placement import Assignment, assign_evenly
 from azurefold.core.groups.popularity import RankReport
 from azurefold.wire.group_maps import decode_map, map_id_of
 
@@ -83,8 +83,8 @@
 
 def new_experts(n_ranks: int, n_layers: int, n_experts: int, slots: int) -> Experts:
     """Return experts placed evenly, with nothing counted yet."""
-    packed = pack([1.0] * n_experts, n_ranks, slots)
-    layers = (even_assignment(packed),) * n_layers
+    packed = pack_experts([1.0] * n_experts, n_ranks, slots)
+    layers = (assign_evenly(packed),) * n_layers
     tokens = [[[0] * n_experts for _ in layers] for _ in range(n_ranks)]
     idle = [0.0] * n_ranks
     return Experts(n_experts, {}, layers, tokens, list(idle), list(idle))
--- a/tests/commands/test_report.py
+++ b/tests/commands/test_report.py
@@ -114,7 +114,7 @@
     def visit_only_with_counts(log, process, now):
         log._visits[process] = burn._Visits(None, now)
 
-    monkeypatch.setattr(burn.ObjectiveLog, "visit", visit_only_with_counts)
+    monkeypatch.setattr(burn.ObjectiveLog, "record_scrape", visit_only_with_counts)
     with pytest.raises(AssertionError):
         check_first_failures_count(entry, configuration)
 
--- a/tests/core/balance/test_explain_tells_what_and_why.py
+++ b/tests/core/balance/test_explain_tells_what_and_why.py
@@ -1,15 +1,15 @@
 """The text for ``azurefold rebalance --explain``."""
 
-from azurefold.core.balance.explain import explain
+from azurefold.core.balance.explain import explain_proposal
 from azurefold.core.balance.proposal import LayerView
-from azurefold.core.balance.search import propose
+from azurefold.core.balance.search import propose_rebalance
 from azurefold.core.balance.straggler import Straggler
 
 HOUR = 3_600_000
 
 
 def test_moves_are_shown_with_gain_cost_and_reason(hot_layer, policy):
-    text = explain(propose([hot_layer], policy, 0))
+    text = explain_proposal(propose_rebalance([hot_layer], policy, 0))
     assert "most popular: expert 15 120 tokens/s on 1" in text
     assert "slowest ranks now: rank" in text
     assert "take: replicate expert 15 to rank" in text
@@ -20,7 +20,9 @@
 
 def test_a_dear_window_and_a_straggler_are_named(hot_layer, booking_policy):
     slow = (Straggler(2, 1.5, 60_000),)
-    text = explain(propose([hot_layer], booking_policy, 10 * HOUR, slow))
+    text = explain_proposal(
+        propose_rebalance([hot_layer], booking_policy, 10 * HOUR, slow)
+    )
     assert "moves are 1e+06 times dearer" in text
     assert "but not at the price of the present window" in text
     assert "rank 2 is slow as such: 1.50 times the median" in text
@@ -29,6 +31,6 @@
 
 def test_a_level_layer_gets_no_new_map(hot_layer, policy):
     idle = LayerView(3, (0.0,) * 16, hot_layer.assignment, hot_layer.speeds)
-    text = explain(propose([idle], policy, 0))
+    text = explain_proposal(propose_rebalance([idle], policy, 0))
     assert "layer 3" in text
     assert "no new map" in text
--- a/tests/core/balance/test_shares_come_out_level.py
+++ b/tests/core/balance/test_shares_come_out_level.py
@@ -7,9 +7,9 @@
 from hypothesis import strategies as st
 
 from azurefold.core.balance import shares
-from azurefold.core.balance.packing import pack
-from azurefold.core.balance.placement import Placement, even_assignment
-from azurefold.core.balance.shares import level, rank_loads_of
+from azurefold.core.balance.packing import pack_experts
+from azurefold.core.balance.placement import Placement, assign_evenly
+from azurefold.core.balance.shares import balance_replica_loads, build_layer_loads
 
 
 def best_slowest(state):
@@ -42,11 +42,11 @@
         tuple(e for e, on in enumerate(held) if rank in on) for rank in range(n_ranks)
     )
     speeds = draw(st.lists(st.floats(0.4, 1), min_size=n_ranks, max_size=n_ranks))
-    return rank_loads_of(even_assignment(Placement(6, 6, ranks)), loads, speeds)
+    return build_layer_loads(assign_evenly(Placement(6, 6, ranks)), loads, speeds)
 
 
 def check_near_optimum(state):
-    level(state, max_sweeps=2_000)
+    balance_replica_loads(state, max_sweeps=2_000)
     assert state.slowest <= best_slowest(state) * 1.02 + 1e-9
 
 
@@ -58,18 +58,20 @@
 def test_mutant_that_keeps_even_shares_is_caught(monkeypatch):
     placement = Placement(3, 2, ((0, 1), (0, 2)))
     loads = [10.0, 8.0, 1.0]
-    check_near_optimum(rank_loads_of(even_assignment(placement), loads, [1.0, 1.0]))
+    check_near_optimum(build_layer_loads(assign_evenly(placement), loads, [1.0, 1.0]))
     monkeypatch.setattr(shares, "_fill", lambda state, expert: None)
     with pytest.raises(AssertionError):
-        check_near_optimum(rank_loads_of(even_assignment(placement), loads, [1.0, 1.0]))
+        check_near_optimum(
+            build_layer_loads(assign_evenly(placement), loads, [1.0, 1.0])
+        )
 
 
 @given(st.lists(st.floats(0, 100), min_size=1, max_size=20), st.integers(1, 6))
 def test_packing_gives_every_expert_a_slot(loads, n_ranks):
     slots = -(-len(loads) // n_ranks) + 1
-    assert pack(loads, n_ranks, slots).findings() == ()
+    assert pack_experts(loads, n_ranks, slots).find_violations() == ()
 
 
 def test_packing_says_when_slots_are_too_few():
     with pytest.raises(ValueError, match="add ranks or slots"):
-        pack([1.0] * 5, n_ranks=2, slots_per_rank=2)
+        pack_experts([1.0] * 5, n_ranks=2, slots_per_rank=2)
--- a/tests/core/balance/test_small_moves_keep_placements_sound.py
+++ b/tests/core/balance/test_small_moves_keep_placements_sound.py
@@ -7,15 +7,15 @@
 from hypothesis import strategies as st
 
 from azurefold.core.balance import moves, search
-from azurefold.core.balance.moves import Drop, apply_move, weight_loads
-from azurefold.core.balance.packing import pack
-from azurefold.core.balance.placement import check_assignment, even_assignment
-from azurefold.core.balance.policy import BalancePolicy, Split, move_factor
-from azurefold.core.balance.proposal import LayerView, Reason
-from azurefold.core.balance.search import objective, propose, propose_layer
-from azurefold.core.balance.shares import rank_loads_of
-
-DAY = 24 * 3_600_000
+from azurefold.core.balance.moves import Drop, apply_move, count_weight_loads
+from azurefold.core.balance.packing import pack_experts
+from azurefold.core.balance.placement import assign_evenly, validate_assignment
+from azurefold.core.balance.policy import BalancePolicy, ReplicaSplit, move_factor
+from azurefold.core.balance.proposal import LayerView, MoveReason
+from azurefold.core.balance.search import compute_cost, propose_layer, propose_rebalance
+from azurefold.core.balance.shares import build_layer_loads
+
+DAY_MS = 24 * 3_600_000
 rates_of = st.lists(st.floats(0, 1_000), min_size=12, max_size=12).map(tuple)
 
 
@@ -23,33 +23,33 @@
 def views(draw):
     n_ranks = draw(st.integers(2, 6))
     slots = draw(st.integers(-(-12 // n_ranks), 12))
-    start = pack(draw(rates_of), n_ranks, slots)
+    start = pack_experts(draw(rates_of), n_ranks, slots)
     speeds = draw(st.tuples(*[st.floats(0.4, 1.0)] * n_ranks))
-    return LayerView(0, draw(rates_of), even_assignment(start), speeds)
+    return LayerView(0, draw(rates_of), assign_evenly(start), speeds)
 
 
 policies = st.builds(
     BalancePolicy,
     skew_weight=st.floats(0, 10),
     move_weight=st.floats(0, 10),
-    max_loads=st.integers(0, 6),
-    split=st.sampled_from(Split),
+    max_weight_loads=st.integers(0, 6),
+    split=st.sampled_from(ReplicaSplit),
 )
 
 
 def check_decision(view, policy, time_of_day=0):
     """Hold a decision against all that must be true of it."""
-    decided = propose_layer(view, policy, time_of_day, policy.max_loads)
-    check_assignment(decided.assignment)
-    loads = sum(weight_loads(judged.move) for judged in decided.taken)
-    assert loads <= policy.max_loads
-    if decided.taken:
+    decided = propose_layer(view, policy, time_of_day, policy.max_weight_loads)
+    validate_assignment(decided.assignment)
+    loads = sum(count_weight_loads(judged.move) for judged in decided.accepted)
+    assert loads <= policy.max_weight_loads
+    if decided.accepted:
         factor = move_factor(policy, time_of_day)
-        proposed = rank_loads_of(decided.assignment, view.rates, view.speeds).excess
-        after = objective(policy, proposed, loads, factor)
-        before = objective(policy, decided.excess_shared, 0, factor)
+        proposed = build_layer_loads(decided.assignment, view.rates, view.speeds).excess
+        after = compute_cost(policy, proposed, loads, factor)
+        before = compute_cost(policy, decided.excess_after_resharing, 0, factor)
         assert after < before + 1e-6
-    for judged in decided.taken:
+    for judged in decided.accepted:
         assert judged.gain > judged.cost
     return decided
 
@@ -61,7 +61,7 @@
 
 @given(views(), policies)
 def test_the_same_view_always_gets_the_same_decision(view, policy):
-    assert propose([view], policy, 0) == propose([view], policy, 0)
+    assert propose_rebalance([view], policy, 0) == propose_rebalance([view], policy, 0)
 
 
 @given(views(), st.lists(rates_of, min_size=2, max_size=5), policies)
@@ -73,7 +73,7 @@
 
 @given(views(), policies)
 def test_no_load_is_lost_when_shares_change(view, policy):
-    decided = propose_layer(view, policy, 0, policy.max_loads)
+    decided = propose_layer(view, policy, 0, policy.max_weight_loads)
     total = sum(decided.assignment.rank_loads(view.rates))
     assert total == pytest.approx(sum(view.rates))
 
@@ -85,14 +85,14 @@
     that none holds. Sequence: popularity moves on; a cold expert's slot is
     given to a hot one. Cause: the slot was that expert's only one.
     """
-    state = rank_loads_of(hot_layer.assignment, hot_layer.rates, hot_layer.speeds)
+    state = build_layer_loads(hot_layer.assignment, hot_layer.rates, hot_layer.speeds)
     expert = next(e for e, hosts in enumerate(state.hosts) if len(hosts) == 1)
     with pytest.raises(ValueError, match="without a slot"):
         apply_move(state, Drop(expert, state.hosts[expert][0]))
 
 
 def check_drop_leaves_slots(view, expert):
-    state = rank_loads_of(view.assignment, view.rates, view.speeds)
+    state = build_layer_loads(view.assignment, view.rates, view.speeds)
     with suppress(ValueError):
         apply_move(state, Drop(expert, state.hosts[expert][0]))
     assert all(state.hosts)
@@ -113,6 +113,6 @@
 def test_mutant_that_takes_every_move_is_caught(hot_layer, monkeypatch):
     dear = BalancePolicy(skew_weight=0.0001, move_weight=100.0)
     check_decision(hot_layer, dear)
-    monkeypatch.setattr(search._Search, "_judge", lambda *_: Reason.PAYS)
+    monkeypatch.setattr(search._Search, "_judge", lambda *_: MoveReason.GAIN_ABOVE_COST)
     with pytest.raises(AssertionError):
         check_decision(hot_layer, dear)
--- a/tests/core/balance/test_stragglers_get_less_load.py
+++ b/tests/core/balance/test_stragglers_get_less_load.py
@@ -2,16 +2,16 @@
 
 import pytest
 
-from azurefold.core.balance.packing import pack
-from azurefold.core.balance.placement import even_assignment
+from azurefold.core.balance.packing import pack_experts
+from azurefold.core.balance.placement import assign_evenly
 from azurefold.core.balance.policy import BalancePolicy
 from azurefold.core.balance.proposal import LayerView
 from azurefold.core.balance.search import propose_layer
 from azurefold.core.balance.straggler import (
-    new_paces,
-    observe_step,
-    speeds,
-    stragglers,
+    find_stragglers,
+    initial_paces,
+    planning_speeds,
+    update_paces,
 )
 
 LOADS = [100.0, 50.0, 100.0, 100.0]
@@ -20,16 +20,16 @@
 
 
 def observed(*steps):
-    paces = new_paces(4)
+    paces = initial_paces(4)
     for now, times in enumerate(steps):
-        paces = observe_step(paces, LOADS, times, now)
+        paces = update_paces(paces, LOADS, times, now)
     return paces
 
 
 def check_load_follows_speed(known_speeds):
     """With three observations of a slow rank, it carries less than the others."""
     rates = (10.0,) * 16
-    view = LayerView(0, rates, even_assignment(pack(rates, 4, 8)), known_speeds)
+    view = LayerView(0, rates, assign_evenly(pack_experts(rates, 4, 8)), known_speeds)
     decided = propose_layer(view, BalancePolicy(1.0, 0.1), 0, loads_left=8)
     loads = decided.assignment.rank_loads(rates)
     assert loads[2] < 0.9 * min(loads[0], loads[1], loads[3])
@@ -43,9 +43,9 @@
     time when speeds differ.
     """
     paces = observed(SOUND, SLOW, SLOW, SLOW)
-    (found,) = stragglers(paces, now=10)
+    (found,) = find_stragglers(paces, now=10)
     assert (found.rank, found.slow_for) == (2, 7)
-    check_load_follows_speed(speeds(paces))
+    check_load_follows_speed(planning_speeds(paces))
 
 
 def test_mutant_that_holds_all_ranks_equal_is_caught():
@@ -55,24 +55,24 @@
 
 def test_a_single_pause_changes_nothing():
     paces = observed(SOUND, SLOW, SOUND, SLOW, SLOW, SOUND)
-    assert stragglers(paces, now=10) == ()
-    assert speeds(paces) == (1.0,) * 4
+    assert find_stragglers(paces, now=10) == ()
+    assert planning_speeds(paces) == (1.0,) * 4
 
 
 def test_a_rank_that_recovers_is_trusted_again():
     paces = observed(SLOW, SLOW, SLOW, SOUND, SOUND)
-    assert len(stragglers(paces, now=10)) == 1
+    assert len(find_stragglers(paces, now=10)) == 1
     paces = observed(SLOW, SLOW, SLOW, SOUND, SOUND, SOUND)
-    assert stragglers(paces, now=10) == ()
+    assert find_stragglers(paces, now=10) == ()
 
 
 def test_a_busy_rank_is_no_straggler():
-    paces = new_paces(4)
+    paces = initial_paces(4)
     for now in range(5):
-        paces = observe_step(paces, [400, 100, 100, 100], [40, 10, 10, 10], now)
-    assert stragglers(paces, now=10) == ()
+        paces = update_paces(paces, [400, 100, 100, 100], [40, 10, 10, 10], now)
+    assert find_stragglers(paces, now=10) == ()
 
 
 def test_idle_ranks_are_not_judged():
-    paces = observe_step(new_paces(2), [0.0, 0.0], [0.0, 0.0], 0)
-    assert paces == new_paces(2)
+    paces = update_paces(initial_paces(2), [0.0, 0.0], [0.0, 0.0], 0)
+    assert paces == initial_paces(2)
--- a/tests/core/groups/test_popularity_from_reports.py
+++ b/tests/core/groups/test_popularity_from_reports.py
@@ -2,10 +2,10 @@
 
 import pytest
 
-from azurefold.core.balance.placement import Placement, even_assignment
+from azurefold.core.balance.placement import Placement, assign_evenly
 from azurefold.core.groups.popularity import RankReport, new_group_popularity
 
-LAYERS = (even_assignment(Placement(3, 2, ((0, 1), (0, 2)))),)
+LAYERS = (assign_evenly(Placement(3, 2, ((0, 1), (0, 2)))),)
 
 
 def report(tokens, work=0.0, busy_us=0, map_id="m0"):
--- a/tests/core/objectives/test_burn_arithmetic_with_known_traffic.py
+++ b/tests/core/objectives/test_burn_arithmetic_with_known_traffic.py
@@ -5,16 +5,16 @@
 from hypothesis import strategies as st
 
 from azurefold.core.objectives import counts as counts_module
-from azurefold.core.objectives.burn import ObjectiveLog, burn_report
+from azurefold.core.objectives.burn import ObjectiveLog, build_burn_report
 from azurefold.core.objectives.counts import (
-    NOTHING,
-    Counts,
-    History,
+    ZERO_COUNTS,
+    CountHistory,
+    RequestCounts,
     Source,
-    good_from_buckets,
+    count_good_from_buckets,
 )
 from azurefold.core.objectives.objective import Objective, ObjectiveKind, burn_rate
-from azurefold.core.objectives.text import render_burn
+from azurefold.core.objectives.rendering import render_burn
 
 MINUTE = 60_000
 HOUR = 60 * MINUTE
@@ -33,10 +33,10 @@
 
 def feed(log, source, per_minute, start=0):
     """Add one sample a minute; each entry is (good, bad) of that minute."""
-    running = NOTHING
+    running = ZERO_COUNTS
     log.add(source, running, start)
     for minute, (good, bad) in enumerate(per_minute, start=1):
-        running = running + Counts(good, good + bad)
+        running = running + RequestCounts(good, good + bad)
         log.add(source, running, start + minute * MINUTE)
     return start + len(per_minute) * MINUTE
 
@@ -45,7 +45,7 @@
     log = ObjectiveLog("recalls", whole)
     # An hour without a fault, then five minutes in which one in ten fails.
     now = feed(log, source, [(100, 0)] * 60 + [(90, 10)] * 5)
-    five, hour, six, three_days = burn_report(log, now).windows
+    five, hour, six, three_days = build_burn_report(log, now).windows
     assert five.rate == pytest.approx(10.0)
     assert hour.rate == pytest.approx(50 / 6_000 / 0.01)
     assert six.rate == pytest.approx(50 / 6_500 / 0.01)
@@ -58,7 +58,7 @@
     objective = Objective(ObjectiveKind.ANSWERED_WHOLE, target=0.9, period=10 * DAY)
     log = ObjectiveLog("recalls", objective)
     now = feed(log, source, [(95, 5)] * 120)
-    report = burn_report(log, now)
+    report = build_burn_report(log, now)
     assert report.budget_left == pytest.approx(0.5)
     # Half of the budget at half the rate that spends it in ten days.
     assert report.ends_in == pytest.approx(10 * DAY)
@@ -68,7 +68,7 @@
 def test_a_spent_budget_is_said_to_be_spent(whole, source):
     log = ObjectiveLog("recalls", whole)
     now = feed(log, source, [(50, 50)] * 10)
-    report = burn_report(log, now)
+    report = build_burn_report(log, now)
     assert report.budget_left == pytest.approx(-49.0)
     assert report.ends_in == 0
     assert "budget is spent" in render_burn([report])
@@ -77,7 +77,7 @@
 def test_no_request_is_not_the_same_as_no_fault(whole, source):
     log = ObjectiveLog("recalls", whole)
     now = feed(log, source, [(0, 0)] * 10)
-    report = burn_report(log, now)
+    report = build_burn_report(log, now)
     assert {burn.rate for burn in report.windows} == {None}
     assert report.budget_left == 1.0
     assert report.ends_in is None
@@ -89,7 +89,7 @@
     feed(log, Source("entry-1", "athina", "10.0.0.1"), [(70, 30)])
     feed(log, Source("entry-2", "athina", "10.0.0.2"), [(90, 10)])
     now = feed(log, Source("entry-2", "marousi", "10.0.0.2"), [(940, 60)])
-    report = burn_report(log, now)
+    report = build_burn_report(log, now)
     organisations = [(o.name, o.counts.bad) for o in report.worst_organisations]
     endpoints = [(o.name, o.share_of_bad) for o in report.worst_endpoints]
     assert organisations == [("marousi", 60), ("athina", 40)]
@@ -100,12 +100,12 @@
 
 
 def check_restart_is_counted(whole):
-    history = History()
+    history = CountHistory()
     samples = [(0, 0), (100, 100), (150, 200), (30, 40), (80, 100)]
     for minute, (good, total) in enumerate(samples):
-        history.add(Counts(good, total), minute * MINUTE)
+        history.add(RequestCounts(good, total), minute * MINUTE)
     grown = history.over(HOUR, 4 * MINUTE).counts
-    assert grown == Counts(good=230, total=300)
+    assert grown == RequestCounts(good=230, total=300)
     assert burn_rate(grown, whole) == pytest.approx(70 / 300 / 0.01)
 
 
@@ -123,9 +123,9 @@
     def without_restarts(self, counts):
         first = self._samples[0] if self._samples else counts
         total = max(0, counts.total - first.total)
-        return Counts(min(total, max(0, counts.good - first.good)), total)
+        return RequestCounts(min(total, max(0, counts.good - first.good)), total)
 
-    monkeypatch.setattr(counts_module.History, "_grown_to", without_restarts)
+    monkeypatch.setattr(counts_module.CountHistory, "_grown_to", without_restarts)
     with pytest.raises(AssertionError):
         check_restart_is_counted(whole)
 
@@ -139,11 +139,11 @@
     first sample of a count is taken as where it starts.
     """
     log = ObjectiveLog("recalls", whole)
-    log.add(Source("entry-1", "bakery", "10.0.0.7"), Counts(500, 500), 0)
-    log.add(Source("entry-1", "deli", "10.0.0.7"), Counts(0, 1), MINUTE)
-    log.add(Source("entry-9", "deli", "10.0.0.7"), Counts(70, 80), MINUTE)
-    report = burn_report(log, MINUTE)
-    assert report.period.counts == Counts(good=0, total=1)
+    log.add(Source("entry-1", "bakery", "10.0.0.7"), RequestCounts(500, 500), 0)
+    log.add(Source("entry-1", "deli", "10.0.0.7"), RequestCounts(0, 1), MINUTE)
+    log.add(Source("entry-9", "deli", "10.0.0.7"), RequestCounts(70, 80), MINUTE)
+    report = build_burn_report(log, MINUTE)
+    assert report.period.counts == RequestCounts(good=0, total=1)
     assert [o.name for o in report.worst_organisations] == ["deli"]
 
 
@@ -152,11 +152,11 @@
 
 @given(st.lists(minutes, min_size=1, max_size=30))
 def test_restarts_right_after_a_sample_lose_nothing(traffic):
-    history = History()
-    history.add(NOTHING, 0)
-    running, truth = NOTHING, NOTHING
+    history = CountHistory()
+    history.add(ZERO_COUNTS, 0)
+    running, truth = ZERO_COUNTS, ZERO_COUNTS
     for minute, (good, bad, restarts) in enumerate(traffic, start=1):
-        grown = Counts(good, good + bad)
+        grown = RequestCounts(good, good + bad)
         truth = truth + grown
         # A restart can be told only if the new count is lower than the old.
         visible = grown.good < running.good or grown.bad < running.bad
@@ -166,9 +166,9 @@
 
 
 def test_forgetting_keeps_what_windows_need():
-    history = History()
+    history = CountHistory()
     for minute in range(100):
-        history.add(Counts(minute, minute), minute * MINUTE)
+        history.add(RequestCounts(minute, minute), minute * MINUTE)
     before = history.over(10 * MINUTE, 99 * MINUTE)
     history.forget(99 * MINUTE - 10 * MINUTE)
     assert history.over(10 * MINUTE, 99 * MINUTE) == before
@@ -176,17 +176,17 @@
 
 
 def test_samples_out_of_order_are_refused():
-    history = History()
-    history.add(NOTHING, 10)
+    history = CountHistory()
+    history.add(ZERO_COUNTS, 10)
     with pytest.raises(ValueError, match="in order"):
-        history.add(NOTHING, 9)
+        history.add(ZERO_COUNTS, 9)
 
 
 def test_a_histogram_counts_rather_too_few_good():
     buckets = [(100.0, 5), (1_000.0, 50), (2_000.0, 70)]
-    assert good_from_buckets(buckets, 1_100) == 50
-    assert good_from_buckets(buckets, 1_000) == 50
-    assert good_from_buckets(buckets, 50) is None
+    assert count_good_from_buckets(buckets, 1_100) == 50
+    assert count_good_from_buckets(buckets, 1_000) == 50
+    assert count_good_from_buckets(buckets, 50) is None
 
 
 @pytest.mark.parametrize("target", [0.0, 1.0, 1.5])
@@ -206,7 +206,7 @@
     objective = Objective(ObjectiveKind.FIRST_TOKEN, 0.95, threshold=1_100)
     log = ObjectiveLog("recalls", objective)
     now = feed(log, source, [(95, 5)] * 10)
-    text = render_burn([burn_report(log, now)])
+    text = render_burn([build_burn_report(log, now)])
     assert "recalls: first token within 1100 ms for 95.0000%" in text
     assert "last 5 min: burn rate 1.00 (25 bad of 500)" in text
     assert (
--- a/tests/core/routes/test_routes_are_found_by_longest_prefix.py
+++ b/tests/core/routes/test_routes_are_found_by_longest_prefix.py
@@ -3,7 +3,7 @@
 import pytest
 
 from azurefold.core.routes.model import AnswerKind, Destination, Route
-from azurefold.core.routes.table import choose_service, route_table
+from azurefold.core.routes.table import build_route_table, choose_service
 
 
 def route(name, prefix, kind=AnswerKind.IDEMPOTENT, **fields):
@@ -13,7 +13,9 @@
 
 @pytest.fixture
 def table():
-    return route_table([route("lots", "/lots/"), route("recalls", "/lots/recalls/")])
+    return build_route_table(
+        [route("lots", "/lots/"), route("recalls", "/lots/recalls/")]
+    )
 
 
 @pytest.mark.parametrize(
@@ -55,4 +57,4 @@
     ],
 )
 def test_only_idempotent_and_resumable_requests_may_run_twice(kind, resumable, twice):
-    assert route("r", "/", kind, resumable=resumable).may_run_twice is twice
+    assert route("r", "/", kind, is_resumable=resumable).is_safe_to_rerun is twice
--- a/tests/gateway/crash_world.py
+++ b/tests/gateway/crash_world.py
@@ -41,7 +41,7 @@
     TIMEOUT_MS,
     400,
     max_attempts=3,
-    resumable=True,
+    is_resumable=True,
 )
 
 
--- a/tests/gateway/test_a_coordinator_takes_over_at_once.py
+++ b/tests/gateway/test_a_coordinator_takes_over_at_once.py
@@ -16,7 +16,7 @@
 from azurefold.platform.ranks import RankReport
 from azurefold.platform.store_messages import Applied, StoredRow, StoredRows
 
-ENGINE = Engine(slots=4, layer_sets=1, experts=4, places=2)
+ENGINE = Engine(slots=4, layer_sets=1, experts=4, expert_slots_per_rank=2)
 
 
 def row_of(node, version):
--- a/tests/gateway/test_answers_name_quotas.py
+++ b/tests/gateway/test_answers_name_quotas.py
@@ -57,7 +57,7 @@
 def relay(state, endpoint_script):
     """Return a request to a service whose endpoints all name a quota."""
     answers, _ = endpoint_script
-    made = relay_of(state, AnswerKind.STREAMING, max_attempts=2, resumable=True)
+    made = relay_of(state, AnswerKind.STREAMING, max_attempts=2, is_resumable=True)
     for name in made.service.admission.pool.endpoints:
         answers[name] = lambda: closing(200, [EVENT % 1], quota=0.5)
     return made
--- a/tests/gateway/test_changes_pay_for_themselves.py
+++ b/tests/gateway/test_changes_pay_for_themselves.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from azurefold.core.balance.plan import LayerPlan, MapPlan, map_zero
+from azurefold.core.balance.plan import LayerPlan, MapPlan, initial_placement
 from azurefold.core.routes.model import Engine
 from azurefold.gateway.groups.map_planning import (
     is_worth_changing,
@@ -10,12 +10,18 @@
     sampling_of,
 )
 
-SMALL = Engine(slots=6, layer_sets=4, experts=64, places=5, expert_mb=880.0)
-LARGE = Engine(slots=5, layer_sets=12, experts=144, places=3, expert_mb=130.0)
+SMALL = Engine(
+    slots=6, layer_sets=4, experts=64, expert_slots_per_rank=5, expert_mb=880.0
+)
+LARGE = Engine(
+    slots=5, layer_sets=12, experts=144, expert_slots_per_rank=3, expert_mb=130.0
+)
 
 
 def plan_that_gains(gain):
-    layer = LayerPlan(map_zero(4, 2, 2), 1.2 + gain, 1.2, loads_of_ranks=(2, 1))
+    layer = LayerPlan(
+        initial_placement(4, 2, 2), 1.2 + gain, 1.2, weight_loads_by_rank=(2, 1)
+    )
     return MapPlan((layer,))
 
 
--- a/tests/gateway/test_endpoints_that_announce_their_departure.py
+++ b/tests/gateway/test_endpoints_that_announce_their_departure.py
@@ -34,7 +34,7 @@
     for name in ("e1", "e2"):
         answers[name] = lambda: closing(200, [EVENT % 1])
     answers[LEAVING_ENDPOINT] = lambda: closing(**ANSWERS[request.param], leaving=True)
-    return relay_of(state, AnswerKind.STREAMING, max_attempts=3, resumable=True)
+    return relay_of(state, AnswerKind.STREAMING, max_attempts=3, is_resumable=True)
 
 
 def send_until_announced(relay, asked):
@@ -109,7 +109,7 @@
 
 def test_group_trials_skip_leaving_endpoints(state, monkeypatch):
     """Guards against group trials, which bypass selection, of leaving endpoints."""
-    relay = relay_of(state, AnswerKind.STREAMING, resumable=True)
+    relay = relay_of(state, AnswerKind.STREAMING, is_resumable=True)
     pool = relay.service.admission.pool
     candidates = set()
 
--- a/tests/gateway/test_endpoints_that_ask_for_a_pause.py
+++ b/tests/gateway/test_endpoints_that_ask_for_a_pause.py
@@ -84,7 +84,7 @@
 def relay(request, state, endpoints):
     """Return a relay to the ranks of a group, or to ungrouped endpoints."""
     resumable = request.param is AnswerKind.STREAMING
-    return relay_of(state, request.param, max_attempts=3, resumable=resumable)
+    return relay_of(state, request.param, max_attempts=3, is_resumable=resumable)
 
 
 def send_request(relay):
--- a/tests/gateway/test_endpoints_that_refuse_everything.py
+++ b/tests/gateway/test_endpoints_that_refuse_everything.py
@@ -25,7 +25,7 @@
 def relay(state, endpoint_script):
     """Return a request to a service of which one endpoint is not what it seems."""
     answers, _ = endpoint_script
-    relay = relay_of(state, AnswerKind.STREAMING, max_attempts=2, resumable=True)
+    relay = relay_of(state, AnswerKind.STREAMING, max_attempts=2, is_resumable=True)
     answers |= {name: lambda: closing(200, [EVENT % 1]) for name in ("e1", "e2")}
     answers[WRONG] = lambda: misdirected("10.0.0.0:80")
     return relay
--- a/tests/gateway/test_groups_of_a_service_are_kept_apart.py
+++ b/tests/gateway/test_groups_of_a_service_are_kept_apart.py
@@ -32,7 +32,7 @@
 @pytest.fixture
 def watch(settings, time):
     state = new_gateway_state(settings, manual_clock(time))
-    engine = Engine(slots=4, layer_sets=1, experts=4, places=2)
+    engine = Engine(slots=4, layer_sets=1, experts=4, expert_slots_per_rank=2)
     service = new_gateway_service(
         RoutedService("drafts", 100, engine),
         "dc-a",
--- a/tests/gateway/test_news_is_put_in_force.py
+++ b/tests/gateway/test_news_is_put_in_force.py
@@ -106,20 +106,20 @@
         402,
         120,
     )
-    assert drafts.resumable
+    assert drafts.is_resumable
     assert drafts.max_attempts == 2
     assert [d.service for d in acks.destinations] == ["desk"]
-    assert not acks.may_run_twice
-    assert read.services["model"].engine.splits_experts
+    assert not acks.is_safe_to_rerun
+    assert read.services["model"].engine.is_expert_parallel
     assert read.services["desk"].engine is None
-    assert read.holders["k2"].organisation == "shops"
-    assert read.holders["k2"].priority == 0
-    assert read.needs_keys
+    assert read.key_holders["k2"].organisation == "shops"
+    assert read.key_holders["k2"].priority == 0
+    assert read.is_key_required
     assert read.limits.idle_timeout_ms == 15000
 
 
 def test_a_configuration_without_organisations_needs_no_keys():
-    assert not decode_configuration(configuration(1, Tenants=None)).needs_keys
+    assert not decode_configuration(configuration(1, Tenants=None)).is_key_required
 
 
 @pytest.mark.parametrize("data", [b"", b"{}", b'{"Version": "x"}'])
--- a/tests/gateway/test_relays_answer_truthfully.py
+++ b/tests/gateway/test_relays_answer_truthfully.py
@@ -213,7 +213,7 @@
     first = [EVENT % 1 + EVENT % 2 + b"id: 3\nda", BROKEN]
     second = [EVENT % 3, EVENT % 4]
     script += [answer(200, first), answer(200, second, forwarded=())]
-    relay = relay_of(state, AnswerKind.STREAMING, max_attempts=2, resumable=True)
+    relay = relay_of(state, AnswerKind.STREAMING, max_attempts=2, is_resumable=True)
     begun, *pieces = parts_of(relay)
     assert begun.headers == (("Server-Seal", "s"),)
     data = b"".join(piece.data for piece in pieces if isinstance(piece, Piece))
@@ -223,7 +223,7 @@
 
 def test_a_stream_that_cannot_go_on_does_not_look_complete(state, script, sockets):
     script.append(answer(200, [EVENT % 1, BROKEN]))
-    relay = relay_of(state, AnswerKind.STREAMING, max_attempts=1, resumable=True)
+    relay = relay_of(state, AnswerKind.STREAMING, max_attempts=1, is_resumable=True)
     parts = relay.run()
     assert isinstance(next(parts), Begun)
     assert isinstance(next(parts), Piece)
@@ -238,7 +238,7 @@
     refuse as well, and the group needs seconds to form anew.
     """
     script += [answer(**NOT_RUN, at_fault="10.9.9.9:80"), answer(200, [EVENT % 1])]
-    relay = relay_of(state, AnswerKind.STREAMING, max_attempts=2, resumable=True)
+    relay = relay_of(state, AnswerKind.STREAMING, max_attempts=2, is_resumable=True)
     [given_up] = parts_of(relay)
     assert given_up.failure.retry_after_ms == LATEST_RETURN_MS
     assert len(sockets) == 1
@@ -253,7 +253,7 @@
     refused for want of a place, with the short wait of a queue that moves.
     """
     script += [answer(**NOT_RUN, at_fault="10.9.9.9:80")]
-    relay = relay_of(state, AnswerKind.STREAMING, max_attempts=1, resumable=True)
+    relay = relay_of(state, AnswerKind.STREAMING, max_attempts=1, is_resumable=True)
     parts_of(relay)
     [given_up] = parts_of(Relay(relay.call, state, relay.service))
     assert given_up.failure.retry_after_ms == LATEST_RETURN_MS
@@ -266,7 +266,7 @@
     A full rank names itself, by its address, as the cause. Taken for another
     one's name, that looked like a group that is down.
     """
-    relay = relay_of(state, AnswerKind.STREAMING, max_attempts=2, resumable=True)
+    relay = relay_of(state, AnswerKind.STREAMING, max_attempts=2, is_resumable=True)
     addresses = {e.name: e.address for e in relay.service.entries.values()}
     original = attempts.read_reply
 
--- a/tests/gateway/test_requests_go_to_groups_that_run.py
+++ b/tests/gateway/test_requests_go_to_groups_that_run.py
@@ -28,7 +28,7 @@
 
 @pytest.fixture
 def relay(state):
-    relay = relay_of(state, AnswerKind.STREAMING, max_attempts=1, resumable=True)
+    relay = relay_of(state, AnswerKind.STREAMING, max_attempts=1, is_resumable=True)
     state.group_told(news_of(1, Standing.RUNS, FIRST))
     state.group_told(news_of(2, Standing.RUNS, SECOND))
     return relay
--- a/tests/gateway/test_terms_rise_over_returns.py
+++ b/tests/gateway/test_terms_rise_over_returns.py
@@ -18,7 +18,7 @@
 
 STEP_MS = 50
 BEAT_MS = 500
-ENGINE = Engine(slots=4, layer_sets=1, experts=4, places=2)
+ENGINE = Engine(slots=4, layer_sets=1, experts=4, expert_slots_per_rank=2)
 
 
 def _name(coordinator):
--- a/tests/groups/test_balance_decisions.py
+++ b/tests/groups/test_balance_decisions.py
@@ -5,7 +5,7 @@
 import pytest
 
 from azurefold.control.groups_balance import GroupBalance, policy_from
-from azurefold.core.balance.placement import Placement, even_assignment
+from azurefold.core.balance.placement import Placement, assign_evenly
 from azurefold.core.clock import ManualTime, manual_clock
 from azurefold.core.configuration.model import Balance, BookingHours, Group
 from azurefold.core.groups.popularity import RankReport
@@ -19,7 +19,7 @@
 from azurefold.wire.grpc_caller import CallError, CallFailure
 
 PLACEMENT = Placement(4, 3, ((0, 1, 2), (2, 3, 0)))
-LAYERS = (even_assignment(PLACEMENT),)
+LAYERS = (assign_evenly(PLACEMENT),)
 
 
 @dataclass
@@ -121,6 +121,6 @@
 
 def test_booking_hours_never_make_moves_cheaper():
     hours = (BookingHours(540, 840, 0.5), BookingHours(0, 60, 20.0))
-    windows = policy_from(Balance(booking_hours=hours)).windows
+    windows = policy_from(Balance(booking_hours=hours)).move_windows
     assert [window.factor for window in windows] == [1.0, 20.0]
     assert (windows[0].start, windows[0].end) == (9 * 3_600_000, 14 * 3_600_000)
--- a/tests/groups/test_maps_follow_popularity.py
+++ b/tests/groups/test_maps_follow_popularity.py
@@ -6,7 +6,7 @@
 
 from azurefold.commands.rebalance import rebalance
 from azurefold.commands.reports import Exit
-from azurefold.core.balance.placement import check_assignment
+from azurefold.core.balance.placement import validate_assignment
 from azurefold.wire.group_maps import decode_map, encode_map, map_id_of
 from azurefold_standins.processes import wait_until
 
@@ -50,7 +50,7 @@
     wait_until(lambda: computes_by(group, map_id), "all ranks compute by the map")
     layers = decode_map(json.dumps(group.experts(0)["layers"]).encode())
     for layer in layers:
-        check_assignment(layer)
+        validate_assignment(layer)
     assert map_id_of(encode_map(layers)) == group.experts(0)["map_id"]
     assert [maps for _, maps in group.steps() if len(set(maps)) != 1] == []
 
