--- a/bench/groups.py
+++ b/bench/groups.py
@@ -13,10 +13,10 @@
 from dataclasses import dataclass, field
 from statistics import mean
 
-from azurefold.core.groups.actions import Action, GroupTiming, Order, SendToRank
+from azurefold.core.groups.actions import Action, GroupTiming, SendToEngine, SendToRank
 from azurefold.core.groups.agent import RankAgent
 from azurefold.core.groups.coordinator import Coordinator
-from azurefold.core.groups.lead import LeadPolicy
+from azurefold.core.groups.lead_time import LeadTimePolicy
 from azurefold.core.groups.phases import Closing, Idle
 from azurefold_standins.lockstep import LockstepGroup, lockstep_group
 from azurefold_standins.lockstep_orders import give_order
@@ -28,12 +28,12 @@
 def timing_of(retry_ms: int) -> GroupTiming:
     """Return the protocol's waits in units of the simulation."""
     return GroupTiming(
-        retry_first=retry_ms * UNIT_PER_MS,
-        retry_longest=500 * UNIT_PER_MS,
-        ask_every=200 * UNIT_PER_MS,
+        first_retry_delay=retry_ms * UNIT_PER_MS,
+        max_retry_delay=500 * UNIT_PER_MS,
+        peer_query_interval=200 * UNIT_PER_MS,
         close_timeout=400 * UNIT_PER_MS,
-        patience=1_000 * UNIT_PER_MS,
-        check_every=200 * UNIT_PER_MS,
+        coordinator_timeout=1_000 * UNIT_PER_MS,
+        health_check_interval=200 * UNIT_PER_MS,
     )
 
 
@@ -48,7 +48,7 @@
     size: int
     latency: float
     step: int
-    policy: LeadPolicy
+    policy: LeadTimePolicy
     draws: random.Random
     loss: float = 0.0
     retry_ms: int = RETRY_MS
@@ -92,7 +92,7 @@
 
     def change(self, map_id: str) -> None:
         """Begin a change."""
-        self._send_all(self.coordinator.change(map_id, self.now))
+        self._send_all(self.coordinator.start_change(map_id, self.now))
 
     def _tick(self) -> None:
         self._send_all(self.coordinator.tick(self.now))
@@ -122,9 +122,11 @@
 
     def _perform(self, rank: int, actions: list[Action]) -> None:
         for action in actions:
-            if isinstance(action, Order):
+            if isinstance(action, SendToEngine):
                 reply = give_order(self.group, rank, action.order)
-                self._perform(rank, self.agents[rank].answered(reply, self.now))
+                self._perform(
+                    rank, self.agents[rank].receive_engine_reply(reply, self.now)
+                )
             else:
                 self._send_all([action])
 
@@ -134,7 +136,7 @@
     latency_ms: float,
     step_ms: float,
     changes: int,
-    policy: LeadPolicy,
+    policy: LeadTimePolicy,
     loss: float = 0.0,
     retry_ms: int = RETRY_MS,
 ) -> dict:
@@ -175,9 +177,9 @@
     changes = 5 if size == "tiny" else 100
     latencies = [0.5] if size == "tiny" else [0.5, 1.5, 5.0]
     steps = [5.0] if size == "tiny" else [3.0, 8.0, 20.0]
-    policy = LeadPolicy(default_step=5.0 * UNIT_PER_MS)
-    half = LeadPolicy(margin=0.6, default_step=5.0 * UNIT_PER_MS)
-    none = LeadPolicy(margin=0.0, default_step=5.0 * UNIT_PER_MS)
+    policy = LeadTimePolicy(default_step_time=5.0 * UNIT_PER_MS)
+    half = LeadTimePolicy(latency_margin=0.6, default_step_time=5.0 * UNIT_PER_MS)
+    none = LeadTimePolicy(latency_margin=0.0, default_step_time=5.0 * UNIT_PER_MS)
     rows = [
         {"lead": "measured", **measure(ranks, latency, step, changes, policy)}
         for ranks in (4, 32)
--- a/bench/slopes_core.py
+++ b/bench/slopes_core.py
@@ -33,7 +33,7 @@
     content_hash,
     split,
 )
-from azurefold.core.groups.lead import LeadPolicy
+from azurefold.core.groups.lead_time import LeadTimePolicy
 from azurefold.core.groups.phases import Idle
 from bench import balance_cpu
 from bench.groups import UNIT_PER_MS, Simulation
@@ -198,7 +198,7 @@
 
 
 def _messages_of_a_change(ranks: int, changes: int) -> float:
-    policy = LeadPolicy(default_step=5.0 * UNIT_PER_MS)
+    policy = LeadTimePolicy(default_step_time=5.0 * UNIT_PER_MS)
     world = Simulation(
         ranks, 0.5 * UNIT_PER_MS, 5 * UNIT_PER_MS, policy, random.Random(_SEED)
     )
--- a/src/azurefold/agent/expert_maps.py
+++ b/src/azurefold/agent/expert_maps.py
@@ -22,8 +22,8 @@
 from azurefold.core.groups.actions import (
     Action,
     GroupTiming,
-    Order,
     SendToCoordinator,
+    SendToEngine,
     SendToRank,
 )
 from azurefold.core.groups.agent import RankAgent
@@ -146,7 +146,7 @@
 
     def status(self) -> dict:
         """Return what an operator may want to see."""
-        engine, closed = self.agent.engine, self.agent.closed
+        engine, closed = self.agent.engine, self.agent.closed_change
         tail = engine.tail if engine else None
         return {
             "group": self.group,
@@ -176,7 +176,7 @@
         sends = []
         while actions:
             action = actions.pop(0)
-            if not isinstance(action, Order):
+            if not isinstance(action, SendToEngine):
                 sends.append(action)
                 continue
             try:
@@ -184,7 +184,7 @@
             except EngineFailedError as error:
                 self._engine_failed(error)
                 return sends
-            actions += self.agent.answered(reply, self.clock.now())
+            actions += self.agent.receive_engine_reply(reply, self.clock.now())
         return sends
 
     def _start(self) -> None:
--- a/src/azurefold/control/groups_balance.py
+++ b/src/azurefold/control/groups_balance.py
@@ -81,7 +81,7 @@
         gevent.joinall(asked)
         reports = [each.value.report if each.value else None for each in asked]
         if all(report is not None for report in reports):
-            self.popularity = self.popularity.reported(tuple(reports), self._now())
+            self.popularity = self.popularity.with_reports(tuple(reports), self._now())
 
     def rebalance(self, explain_only: bool) -> RebalanceReply:
         """Answer an operator with a decision on the newest reports."""
@@ -101,7 +101,7 @@
             return RebalanceReply(False, holder=holder, detail=detail)
         now = self._now()
         proposal = propose_rebalance(
-            popularity.views(),
+            popularity.layer_views(),
             self.policy,
             self.wall.now() % DAY_MS,
             popularity.stragglers(now),
--- a/src/azurefold/control/groups_lead.py
+++ b/src/azurefold/control/groups_lead.py
@@ -12,7 +12,7 @@
 from azurefold.core.configuration.model import Group
 from azurefold.core.groups.actions import Action, GroupTiming, SendToRank
 from azurefold.core.groups.coordinator import Coordinator
-from azurefold.core.groups.lead import LeadPolicy
+from azurefold.core.groups.lead_time import LeadTimePolicy
 from azurefold.core.groups.lease import Lease, LeaseAction, ReadLease
 from azurefold.core.groups.messages import Message
 from azurefold.core.groups.phases import (
@@ -121,7 +121,7 @@
             return ChangeMapReply(False, self.holder, "ask the holder of the lease")
         coordinator = self.coordinator
         try:
-            actions = coordinator.change(map_id, self.clock.now())
+            actions = coordinator.start_change(map_id, self.clock.now())
         except ChangeInProgressError as error:
             return ChangeMapReply(False, self.holder, str(error))
         log_event(_log, "change_begun", group=self.group.name, map=map_id)
@@ -156,10 +156,10 @@
         name = self.group.name
         if isinstance(action, ReadLease):
             seen = self.table.read(name)
-            self.lease.was_read(seen, self.clock.now())
+            self.lease.on_read(seen, self.clock.now())
             return
         outcome = self.table.write(name, action)
-        self.lease.was_written(outcome, self.clock.now())
+        self.lease.on_write_outcome(outcome, self.clock.now())
 
     def _tick_ms(self) -> Millis:
         idle = self.coordinator is None or isinstance(self.coordinator.phase, Idle)
@@ -168,7 +168,7 @@
     def _begin(self, fence: int, now: Millis) -> None:
         fallback = self.lease.map_id or _FIRST_MAP
         size = len(self.group.endpoints)
-        timing, policy = GroupTiming(), LeadPolicy()
+        timing, policy = GroupTiming(), LeadTimePolicy()
         self.coordinator = Coordinator(fence, size, fallback, timing, policy)
         self._settled = 0
         log_event(_log, "lease_held", group=self.group.name, fence=fence)
@@ -226,15 +226,15 @@
         match coordinator.phase:
             case Deposed(by_fence):
                 self.deposed += 1
-                self.lease.drop(by_fence)
+                self.lease.abandon(by_fence)
                 self._end("deposed")
-            case Idle() if coordinator.in_force is not None:
-                self.lease.put_in_force(coordinator.in_force)
-        if coordinator.settled > self._settled:
+            case Idle() if coordinator.active_map is not None:
+                self.lease.record_active_map(coordinator.active_map)
+        if coordinator.finished_count > self._settled:
             self._settle(coordinator)
 
     def _settle(self, coordinator: Coordinator) -> None:
-        self._settled = coordinator.settled
+        self._settled = coordinator.finished_count
         outcome = coordinator.outcome
         self.outcomes[outcome] = self.outcomes.get(outcome, 0) + 1
         self.ended.labels(group=self.group.name, outcome=outcome.value).inc()
@@ -243,6 +243,6 @@
             "change_ended",
             group=self.group.name,
             outcome=outcome.value,
-            map=coordinator.in_force,
+            map=coordinator.active_map,
         )
         self._target = None
--- a/src/azurefold/core/groups/actions.py
+++ b/src/azurefold/core/groups/actions.py
@@ -6,7 +6,7 @@
 from azurefold.core.groups.engine import EngineOrder
 from azurefold.core.groups.messages import Message
 
-__all__ = ["Action", "GroupTiming", "Order", "SendToCoordinator", "SendToRank"]
+__all__ = ["Action", "GroupTiming", "SendToEngine", "SendToCoordinator", "SendToRank"]
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,13 +26,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Order:
+class SendToEngine:
     """Give ``order`` to this rank's engine and report its reply."""
 
     order: EngineOrder
 
 
-Action = SendToRank | SendToCoordinator | Order
+Action = SendToRank | SendToCoordinator | SendToEngine
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,26 +41,26 @@
 
     Parameters
     ----------
-    retry_first : int, default=15
+    first_retry_delay : int, default=15
         Before the first repeat of an unanswered message, in milliseconds. Short,
         because a lost close makes the whole group wait. Doubled each time.
-    retry_longest : int, default=500
+    max_retry_delay : int, default=500
         Between two repeats at most, so that neither a dead rank nor one that
         loads weights for minutes costs the coordinator its processor time.
-    ask_every : int, default=200
+    peer_query_interval : int, default=200
         Between two questions of a closed rank to its peers.
     close_timeout : int, default=400
         After which a change that is not agreed by all is given up.
-    patience : int, default=1000
+    coordinator_timeout : int, default=1000
         After which a closed rank asks its peers for the outcome. Longer than
         ``close_timeout``, so that ranks do not end what is under way.
-    check_every : int, default=1000
+    health_check_interval : int, default=1000
         Between two checks of an idle group.
     """
 
-    retry_first: Millis = 15
-    retry_longest: Millis = 500
-    ask_every: Millis = 200
+    first_retry_delay: Millis = 15
+    max_retry_delay: Millis = 500
+    peer_query_interval: Millis = 200
     close_timeout: Millis = 400
-    patience: Millis = 1_000
-    check_every: Millis = 1_000
+    coordinator_timeout: Millis = 1_000
+    health_check_interval: Millis = 1_000
--- a/src/azurefold/core/groups/agent.py
+++ b/src/azurefold/core/groups/agent.py
@@ -18,7 +18,7 @@
     Action,
     SendToCoordinator,
 )
-from azurefold.core.groups.closed import Closed, refusal_of
+from azurefold.core.groups.closed_change import ClosedChange, close_refusal_reason
 from azurefold.core.groups.engine import (
     EngineOrder,
     EngineReply,
@@ -75,7 +75,7 @@
         self._fence = max(self._fence, fence)
         return self._on_coordinator(message)
 
-    def answered(self, reply: EngineReply, now: Millis) -> list[Action]:
+    def receive_engine_reply(self, reply: EngineReply, now: Millis) -> list[Action]:
         """Handle the engine's reply to the order that is out."""
         if self._pending is None:
             return []
@@ -110,7 +110,7 @@
         # of it. A late *open*, obeyed now, would put this rank alone on the new
         # one. So the restarted agent never opens on the coordinator's word, only
         # on a peer's that has seen the end of the change.
-        self._closed = Closed(engine.hold_number, engine.hold, False, now)
+        self._closed = ClosedChange(engine.hold_number, engine.hold, False, now)
         return []
 
     def _on_coordinator(self, message: Message) -> list[Action]:
@@ -132,7 +132,7 @@
         if closed is not None and closed.number == close.number and closed.may_open:
             return [self._agreed(close)]
         overtaken = self._is_overtaken(close.number)
-        reason = refusal_of(close, overtaken, closed, self._engine)
+        reason = close_refusal_reason(close, overtaken, closed, self._engine)
         if reason:
             return [self._refused(close, reason)]
         step = self._engine.next_step if close.step is None else close.step
@@ -142,8 +142,8 @@
         self, close: msg.Close, order: EngineOrder, reply: EngineReply, now: Millis
     ) -> list[Action]:
         if reply.accepted:
-            ask_at = now + self._timing.patience
-            self._closed = Closed(close.number, order.step, True, ask_at)
+            ask_peers_at = now + self._timing.coordinator_timeout
+            self._closed = ClosedChange(close.number, order.step, True, ask_peers_at)
             return [self._agreed(close)]
         reached = reply.state.next_step
         if close.step is None and reached > order.step:
@@ -161,7 +161,9 @@
 
     def _may_open(self, order: msg.Open) -> bool:
         closed = self._closed
-        return closed is not None and closed.obeys(order, self._engine.incarnation)
+        return closed is not None and closed.accepts_open(
+            order, self._engine.incarnation
+        )
 
     def _on_reopen(self, message: msg.Reopen) -> list[Action]:
         closed = self._closed
--- a/src/azurefold/core/groups/agent_state.py
+++ b/src/azurefold/core/groups/agent_state.py
@@ -1,8 +1,8 @@
 """What a rank's agent knows, and how it gives its engine an order."""
 
 from azurefold.core.groups import messages as msg
-from azurefold.core.groups.actions import Action, GroupTiming, Order
-from azurefold.core.groups.closed import Closed
+from azurefold.core.groups.actions import Action, GroupTiming, SendToEngine
+from azurefold.core.groups.closed_change import ClosedChange
 from azurefold.core.groups.engine import EngineOrder, EngineState, PlanEntry, UseFrom
 from azurefold.core.groups.messages import Message
 
@@ -18,7 +18,7 @@
         self._timing = timing
         self._fence = 0
         self._engine: EngineState | None = None
-        self._closed: Closed | None = None
+        self._closed: ClosedChange | None = None
         self._pending: tuple[EngineOrder, Message | None] | None = None
 
     @property
@@ -27,7 +27,7 @@
         return self._fence
 
     @property
-    def closed(self) -> Closed | None:
+    def closed_change(self) -> ClosedChange | None:
         """The undecided change that holds this rank, if any."""
         return self._closed
 
@@ -36,7 +36,7 @@
         """The engine's state as last reported; None before the first report."""
         return self._engine
 
-    def _reopen(self, closed: Closed, cause: Message) -> list[Action]:
+    def _reopen(self, closed: ClosedChange, cause: Message) -> list[Action]:
         """Put the old map in force again, as an entry with the change's number.
 
         A mere release would leave no trace, and a restarted agent could then
@@ -53,7 +53,7 @@
 
     def _order(self, order: EngineOrder, cause: Message | None) -> list[Action]:
         self._pending = (order, cause)
-        return [Order(order)]
+        return [SendToEngine(order)]
 
     def _decided(self, entry: PlanEntry) -> msg.Decided:
         return msg.Decided(entry.number, self._rank, entry.from_step, entry.map_id)
--- a/src/azurefold/core/groups/closed.py
+++ b/src/azurefold/core/groups/closed_change.py
@@ -6,11 +6,11 @@
 from azurefold.core.groups.engine import EngineState, PlanEntry
 from azurefold.core.groups.messages import Close, Open
 
-__all__ = ["Closed", "refusal_of"]
+__all__ = ["ClosedChange", "close_refusal_reason"]
 
 
 @dataclass(frozen=True, slots=True)
-class Closed:
+class ClosedChange:
     """An undecided change that holds a rank.
 
     Parameters
@@ -20,7 +20,7 @@
     may_open : bool
         Whether the coordinator's *open* is still obeyed: the close was agreed in
         this agent's life and nothing has been promised since.
-    ask_at : int
+    ask_peers_at : int
         When to ask the peers (again), in milliseconds.
     promises : dict of int to PlanEntry
         The tails of the peers that have promised, by rank.
@@ -29,10 +29,10 @@
     number: int
     step: int
     may_open: bool
-    ask_at: Millis
+    ask_peers_at: Millis
     promises: dict[int, PlanEntry] = field(default_factory=dict)
 
-    def obeys(self, order: Open, incarnation: int) -> bool:
+    def accepts_open(self, order: Open, incarnation: int) -> bool:
         """Return whether the coordinator's ``order`` may be carried out.
 
         What would go wrong without the incarnation: the coordinator counts the
@@ -58,8 +58,8 @@
         )
 
 
-def refusal_of(
-    close: Close, overtaken: bool, closed: Closed | None, engine: EngineState
+def close_refusal_reason(
+    close: Close, overtaken: bool, closed: ClosedChange | None, engine: EngineState
 ) -> str:
     """Return why ``close`` cannot be agreed to, empty if it can."""
     if overtaken:
--- a/src/azurefold/core/groups/coordinator.py
+++ b/src/azurefold/core/groups/coordinator.py
@@ -14,7 +14,7 @@
 from azurefold.core.groups.actions import Action, GroupTiming, SendToRank
 from azurefold.core.groups.engine import EngineState
 from azurefold.core.groups.health import is_healthy, recovery_map
-from azurefold.core.groups.lead import LeadPolicy, PaceEstimate, lead_steps
+from azurefold.core.groups.lead_time import LeadTimePolicy, StepTimeEstimate, lead_steps
 from azurefold.core.groups.messages import (
     Close,
     CloseAgreed,
@@ -57,11 +57,11 @@
         The number of the lease.
     size : int
         Ranks in the group.
-    fallback : str
+    fallback_map : str
         The map for a group all of whose ranks were replaced.
     timing : GroupTiming
         Waits of the protocol.
-    lead : LeadPolicy
+    lead_policy : LeadTimePolicy
         How far ahead to close.
     """
 
@@ -69,26 +69,26 @@
         self,
         fence: int,
         size: int,
-        fallback: str,
+        fallback_map: str,
         timing: GroupTiming,
-        lead: LeadPolicy,
+        lead_policy: LeadTimePolicy,
     ) -> None:
         self._fence = fence
         self._size = size
-        self._fallback = fallback
+        self._fallback_map = fallback_map
         self._timing = timing
-        self._lead = lead
+        self._lead_policy = lead_policy
         self._serial = 0
         self._phase: Phase = Idle(0)
         self._replies: dict[int, Message] = {}
         self._entered_at: Millis = 0
         self._retry_at: Millis = 0
-        self._retry_after: Millis = timing.retry_first
+        self._retry_after: Millis = timing.first_retry_delay
         self._target: str | None = None
         self._outcome: Outcome | None = None
-        self._settled = 0
-        self._in_force: str | None = None
-        self._pace = PaceEstimate()
+        self._finished_count = 0
+        self._active_map: str | None = None
+        self._step_time_estimate = StepTimeEstimate()
 
     @property
     def fence(self) -> int:
@@ -106,20 +106,20 @@
         return self._outcome
 
     @property
-    def settled(self) -> int:
+    def finished_count(self) -> int:
         """How many changes and recoveries have ended."""
-        return self._settled
+        return self._finished_count
 
     @property
-    def in_force(self) -> str | None:
+    def active_map(self) -> str | None:
         """The map that all ranks were last known to plan for; None if unknown."""
-        return self._in_force
+        return self._active_map
 
     def start(self, now: Millis) -> list[Action]:
         """Ask every rank, which thereby refuses coordinators before this one."""
         return self._check(now)
 
-    def change(self, map_id: str, now: Millis) -> list[Action]:
+    def start_change(self, map_id: str, now: Millis) -> list[Action]:
         """Begin to put ``map_id`` in force.
 
         Raises
@@ -172,14 +172,14 @@
     def _enter(self, phase: Phase, now: Millis) -> list[Action]:
         self._phase = phase
         self._entered_at = now
-        self._retry_after = self._timing.retry_first
+        self._retry_after = self._timing.first_retry_delay
         self._replies = {}
         return self._send(now)
 
     def _send(self, now: Millis) -> list[Action]:
         """Send the phase's message to every rank that has not replied."""
         self._retry_at = now + self._retry_after
-        self._retry_after = min(2 * self._retry_after, self._timing.retry_longest)
+        self._retry_after = min(2 * self._retry_after, self._timing.max_retry_delay)
         missing = [rank for rank in range(self._size) if rank not in self._replies]
         return [SendToRank(rank, self._message_to(rank)) for rank in missing]
 
@@ -225,24 +225,26 @@
     def _after_check(self, now: Millis) -> list[Action]:
         states = [self._replies[rank].engine for rank in range(self._size)]
         reached = max(state.next_step for state in states)
-        self._pace = self._pace.reported(reached, now)
+        self._step_time_estimate = self._step_time_estimate.with_report(reached, now)
         if not is_healthy(states):
-            map_id = recovery_map(states, self._fallback)
+            map_id = recovery_map(states, self._fallback_map)
             return self._enter(Staging(map_id, recovery=True), now)
-        self._in_force = states[0].tail.map_id
+        self._active_map = states[0].tail.map_id
         if self._target is None:
-            self._phase = Idle(now + self._timing.check_every)
+            self._phase = Idle(now + self._timing.health_check_interval)
             return []
         if states[0].tail.map_id == self._target:
             return self._settle(Outcome.OPENED, now)
         return self._close(self._target, now, self._step_ahead(states, now))
 
     def _step_ahead(self, states: list[EngineState], now: Millis) -> int:
-        step_time = self._pace.step_time or self._lead.default_step
+        step_time = (
+            self._step_time_estimate.step_time or self._lead_policy.default_step_time
+        )
         # Counted from the first message: a repeat may cross the reply to the one
         # before it, and the round trip would look too short and the lead with it.
         round_trip = now - self._entered_at
-        lead = lead_steps(self._lead, round_trip, step_time)
+        lead = lead_steps(self._lead_policy, round_trip, step_time)
         step = max(state.next_step for state in states) + lead
         after_plan = max(state.tail.from_step for state in states) + 1
         return max(step, after_plan)
@@ -279,13 +281,13 @@
         maps = {reply.map_id for reply in self._replies.values()}
         if maps != {opening.map_id}:
             return self._settle(Outcome.REOPENED, now)
-        self._in_force = opening.map_id
+        self._active_map = opening.map_id
         done = Outcome.RECOVERED if opening.recovery else Outcome.OPENED
         return self._settle(done, now)
 
     def _settle(self, outcome: Outcome, now: Millis) -> list[Action]:
         self._outcome = outcome
-        self._settled += 1
+        self._finished_count += 1
         self._target = None
-        self._phase = Idle(now + self._timing.check_every)
+        self._phase = Idle(now + self._timing.health_check_interval)
         return []
--- a/src/azurefold/core/groups/health.py
+++ b/src/azurefold/core/groups/health.py
@@ -13,9 +13,9 @@
     return len({schedule_from(state, step) for state in states}) == 1
 
 
-def recovery_map(states: list[EngineState], fallback: str) -> str:
-    """Return the map of the latest decided change, ``fallback`` without any."""
+def recovery_map(states: list[EngineState], fallback_map: str) -> str:
+    """Return the map of the latest decided change, ``fallback_map`` without any."""
     tails = [state.tail for state in states if state.tail is not None]
     if not tails:
-        return fallback
+        return fallback_map
     return max(tails, key=lambda tail: tail.number).map_id
--- a/src/azurefold/core/groups/lead.py
+++ b/src/azurefold/core/groups/lead_time.py
@@ -10,11 +10,11 @@
 
 from azurefold.core.clock import Millis
 
-__all__ = ["LeadPolicy", "PaceEstimate", "lead_steps"]
+__all__ = ["LeadTimePolicy", "StepTimeEstimate", "lead_steps"]
 
 
 @dataclass(frozen=True, slots=True)
-class LeadPolicy:
+class LeadTimePolicy:
     """How the lead follows from what was measured.
 
     Parameters
@@ -23,26 +23,26 @@
         Exchanges that must fit: the close with its replies and the open with
         its way to the engines; the query before them is half over when the
         step number that it brings is read.
-    margin : float, default=1.5
+    latency_margin : float, default=1.5
         Factor on the slowest round trip measured, for the tail of the latency.
-    default_step : float, default=5.0
+    default_step_time : float, default=5.0
         Milliseconds a step, until two reports have been compared.
-    longest : int, default=400
+    max_steps : int, default=400
         Steps; an upper bound if a measurement went astray.
     """
 
     round_trips: float = 2.0
-    margin: float = 1.5
-    default_step: float = 5.0
-    longest: int = 400
+    latency_margin: float = 1.5
+    default_step_time: float = 5.0
+    max_steps: int = 400
 
 
-def lead_steps(policy: LeadPolicy, round_trip: Millis, step_time: float) -> int:
+def lead_steps(policy: LeadTimePolicy, round_trip: Millis, step_time: float) -> int:
     """Return the number of steps between the last one reported and the change.
 
     Parameters
     ----------
-    policy : LeadPolicy
+    policy : LeadTimePolicy
         Margins.
     round_trip : int
         The slowest rank's query and reply, in milliseconds.
@@ -51,21 +51,21 @@
 
     Examples
     --------
-    >>> lead_steps(LeadPolicy(), round_trip=3, step_time=5.0)
+    >>> lead_steps(LeadTimePolicy(), round_trip=3, step_time=5.0)
     4
-    >>> lead_steps(LeadPolicy(), round_trip=40, step_time=5.0)
+    >>> lead_steps(LeadTimePolicy(), round_trip=40, step_time=5.0)
     31
     """
-    until_open = policy.margin * (policy.round_trips + 0.5) * max(1, round_trip)
-    return min(policy.longest, 1 + ceil(until_open / step_time))
+    until_open = policy.latency_margin * (policy.round_trips + 0.5) * max(1, round_trip)
+    return min(policy.max_steps, 1 + ceil(until_open / step_time))
 
 
-FEWEST_STEPS = 8
+MIN_STEPS_BETWEEN_REPORTS = 8
 """Steps between two reports for a pace to be read off them."""
 
 
 @dataclass(frozen=True, slots=True)
-class PaceEstimate:
+class StepTimeEstimate:
     """The group's pace from reports of its step.
 
     What would go wrong with reports close together: two of them straddle the
@@ -82,8 +82,8 @@
 
     Examples
     --------
-    >>> PaceEstimate().reported(10, now=0).reported(11, now=1).step_time
-    >>> PaceEstimate().reported(10, now=0).reported(30, now=100).step_time
+    >>> StepTimeEstimate().with_report(10, now=0).with_report(11, now=1).step_time
+    >>> StepTimeEstimate().with_report(10, now=0).with_report(30, now=100).step_time
     5.0
     """
 
@@ -91,13 +91,13 @@
     at: Millis = 0
     step_time: float | None = None
 
-    def reported(self, step: int, now: Millis) -> "PaceEstimate":
+    def with_report(self, step: int, now: Millis) -> "StepTimeEstimate":
         """Return the estimate after a report that ``step`` is next.
 
         A group that stood still tells nothing about its pace.
         """
         if self.step < 0 or step <= self.step:
-            return PaceEstimate(step, now, self.step_time)
-        if step - self.step < FEWEST_STEPS or now <= self.at:
+            return StepTimeEstimate(step, now, self.step_time)
+        if step - self.step < MIN_STEPS_BETWEEN_REPORTS or now <= self.at:
             return self
-        return PaceEstimate(step, now, (now - self.at) / (step - self.step))
+        return StepTimeEstimate(step, now, (now - self.at) / (step - self.step))
--- a/src/azurefold/core/groups/leadership.py
+++ b/src/azurefold/core/groups/leadership.py
@@ -17,7 +17,7 @@
 
 from azurefold.core.clock import Millis
 
-__all__ = ["Beat", "Leadership", "LeadershipPolicy"]
+__all__ = ["LeaderHeartbeat", "Leadership", "LeadershipPolicy"]
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,40 +26,40 @@
 
     Parameters
     ----------
-    silence : int
+    heartbeat_timeout : int
         Without a beat of the holder, until another node takes over. Beats come
         at least twice a second, so three in a row are lost.
-    first_silence : int
+    initial_heartbeat_timeout : int
         The same for a node that has just started, or has just learned who
         holds the row: a holder that is alive beats within half a second.
-    changing_silence, changing_stagger : int
+    heartbeat_timeout_in_change, stagger_in_change : int
         The same two while the holder changes a map. It may have the group held: a
         holder that stood still for 4 s then kept all streams from going on for 3 s,
         after which their callers had gone. Beats come every 150 ms at that time; a
         holder that is succeeded for nothing does no harm.
     stagger : int
         Between two nodes of which the first is to try first.
-    retry : int
+    retry_delay : int
         Until a node tries again after the store gave no answer.
-    rest : int
+    resign_backoff : int
         For which a holder that gave up lets others try.
-    confirmed_for : int
+    confirmation_ttl : int
         For which a confirmation of the row is taken for fresh. Shorter than
-        ``silence``, so nobody has taken over yet.
+        ``heartbeat_timeout``, so nobody has taken over yet.
     """
 
-    silence: Millis = 1_700
-    first_silence: Millis = 700
-    changing_silence: Millis = 450
-    changing_stagger: Millis = 40
+    heartbeat_timeout: Millis = 1_700
+    initial_heartbeat_timeout: Millis = 700
+    heartbeat_timeout_in_change: Millis = 450
+    stagger_in_change: Millis = 40
     stagger: Millis = 150
-    retry: Millis = 700
-    rest: Millis = 6_000
-    confirmed_for: Millis = 900
+    retry_delay: Millis = 700
+    resign_backoff: Millis = 6_000
+    confirmation_ttl: Millis = 900
 
 
 @dataclass(frozen=True, slots=True)
-class Beat:
+class LeaderHeartbeat:
     """What a holder tells the other nodes.
 
     Parameters
@@ -93,7 +93,7 @@
     policy: LeadershipPolicy = field(default_factory=LeadershipPolicy)
     position: int = 0
     term: int = 0
-    _holds: bool = False
+    _is_leader: bool = False
     _confirmed_at: Millis = 0
     _heard_at: Millis = 0
     _heard_beat: bool = False
@@ -101,15 +101,15 @@
     _not_before: Millis = 0
 
     @property
-    def holds(self) -> bool:
+    def is_leader(self) -> bool:
         """Whether this node coordinates, as far as it knows."""
-        return self._holds
+        return self._is_leader
 
     def start(self, now: Millis) -> None:
         """Begin to wait for beats."""
         self._heard_at = now
 
-    def heard(self, beat: Beat, now: Millis) -> bool:
+    def on_heartbeat(self, beat: LeaderHeartbeat, now: Millis) -> bool:
         """Take in a beat; return whether it ended this node's own term."""
         if beat.term < self.term or beat.node == self.node:
             return False
@@ -117,34 +117,43 @@
         self._heard_at = now
         self._heard_beat = True
         self._heard_changing = beat.is_changing
-        lost = self._holds
-        self._holds = False
+        lost = self._is_leader
+        self._is_leader = False
         return lost
 
-    def ended(self, beat: Beat, now: Millis) -> None:
+    def on_resignation(self, beat: LeaderHeartbeat, now: Millis) -> None:
         """Take in that the holder gives its term up."""
-        if beat.term >= self.term and not self._holds:
+        if beat.term >= self.term and not self._is_leader:
             self.term = beat.term
-            self._heard_at = now - self.policy.silence
+            self._heard_at = now - self.policy.heartbeat_timeout
 
-    def should_take(self, now: Millis) -> bool:
+    def should_take_over(self, now: Millis) -> bool:
         """Whether this node should try to take the row."""
-        if self._holds or now < self._not_before:
+        if self._is_leader or now < self._not_before:
             return False
         return now - self._heard_at >= self._wait()
 
     def _wait(self) -> Millis:
         policy = self.policy
         if self._heard_beat and self._heard_changing:
-            return policy.changing_silence + self.position * policy.changing_stagger
-        silence = policy.silence if self._heard_beat else policy.first_silence
+            return (
+                policy.heartbeat_timeout_in_change
+                + self.position * policy.stagger_in_change
+            )
+        silence = (
+            policy.heartbeat_timeout
+            if self._heard_beat
+            else policy.initial_heartbeat_timeout
+        )
         return silence + self.position * policy.stagger
 
     def is_confirmed(self, now: Millis) -> bool:
         """Whether the row was this node's a moment ago."""
-        return now - self._confirmed_at < self.policy.confirmed_for
+        return now - self._confirmed_at < self.policy.confirmation_ttl
 
-    def may_change(self, heard: int, peers: int, now: Millis) -> bool:
+    def may_start_change(
+        self, reachable_peers: int, known_peers: int, now: Millis
+    ) -> bool:
         """Whether this node may begin a change of a map.
 
         What goes wrong without: a holder that is cut off from everybody goes on
@@ -153,37 +162,37 @@
 
         Parameters
         ----------
-        heard, peers : int
+        reachable_peers, known_peers : int
             Other nodes that are heard, and all that are known.
         now : int
         """
-        if not self._holds:
+        if not self._is_leader:
             return False
-        return self.is_confirmed(now) or 2 * heard >= peers
+        return self.is_confirmed(now) or 2 * reachable_peers >= known_peers
 
-    def taken(self, term: int, asked_at: Millis) -> None:
+    def on_row_acquired(self, term: int, asked_at: Millis) -> None:
         """Note that the row is this node's, as of a write sent at ``asked_at``."""
         self.term = term
-        self._holds = True
+        self._is_leader = True
         self._heard_beat = True
         self._heard_changing = False
         self._confirmed_at = asked_at
 
-    def refused(self, term: int, now: Millis) -> bool:
+    def on_row_refused(self, term: int, now: Millis) -> bool:
         """Note that the row is another's; return whether a term was lost."""
         self.term = max(self.term, term)
         self._heard_at = now
         self._heard_beat = False
-        lost = self._holds
-        self._holds = False
+        lost = self._is_leader
+        self._is_leader = False
         return lost
 
-    def unanswered(self, now: Millis) -> None:
+    def on_store_unanswered(self, now: Millis) -> None:
         """Note that the store gave no answer."""
-        self._not_before = now + self.policy.retry
+        self._not_before = now + self.policy.retry_delay
 
     def resign(self, now: Millis) -> None:
         """Let another node try."""
-        self._holds = False
+        self._is_leader = False
         self._heard_at = now
-        self._not_before = now + self.policy.rest
+        self._not_before = now + self.policy.resign_backoff
--- a/src/azurefold/core/groups/lease.py
+++ b/src/azurefold/core/groups/lease.py
@@ -16,12 +16,12 @@
     "LeaseAction",
     "LeaseRow",
     "LeaseTiming",
-    "Lost",
-    "NotWritten",
+    "WriteConflict",
+    "WriteNotApplied",
     "ReadLease",
-    "Seen",
-    "Took",
-    "Unsure",
+    "VersionedLeaseRow",
+    "WriteSucceeded",
+    "OutcomeUnknown",
     "WriteLease",
     "WriteOutcome",
 ]
@@ -53,7 +53,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class VersionedLeaseRow:
     """The row with its version; both None while there is no row."""
 
     row: LeaseRow | None = None
@@ -67,40 +67,40 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteLease:
-    """Write ``row`` if the present one has ``over_version``; None: is absent."""
+    """Write ``row`` if the present one has ``expected_version``; None: is absent."""
 
     row: LeaseRow
-    over_version: int | None
+    expected_version: int | None
 
 
 LeaseAction = ReadLease | WriteLease
 
 
 @dataclass(frozen=True, slots=True)
-class Took:
+class WriteSucceeded:
     """The write took effect and gave the row ``version``."""
 
     version: int
 
 
 @dataclass(frozen=True, slots=True)
-class Lost:
+class WriteConflict:
     """The condition did not hold; ``seen`` is the present row."""
 
-    seen: Seen
+    seen: VersionedLeaseRow
 
 
 @dataclass(frozen=True, slots=True)
-class Unsure:
+class OutcomeUnknown:
     """The write may have taken effect, or may do so later."""
 
 
 @dataclass(frozen=True, slots=True)
-class NotWritten:
+class WriteNotApplied:
     """The write certainly did not take effect."""
 
 
-WriteOutcome = Took | Lost | Unsure | NotWritten
+WriteOutcome = WriteSucceeded | WriteConflict | OutcomeUnknown | WriteNotApplied
 
 
 @dataclass(frozen=True, slots=True)
@@ -109,21 +109,21 @@
 
     Parameters
     ----------
-    term : int, default=3000
+    duration : int, default=3000
         How long a write gives the lease for.
-    margin : int, default=300
+    safety_margin : int, default=300
         How long before the end of its term the holder stops.
-    renew_every : int, default=1000
+    renew_interval : int, default=1000
         Between the begins of two renewals.
-    poll_every : int, default=500
+    poll_interval : int, default=500
         Between two looks of a process that does not hold it, and before a
         repeat while the platform gives no answer.
     """
 
-    term: Millis = 3_000
-    margin: Millis = 300
-    renew_every: Millis = 1_000
-    poll_every: Millis = 500
+    duration: Millis = 3_000
+    safety_margin: Millis = 300
+    renew_interval: Millis = 1_000
+    poll_interval: Millis = 500
 
 
 class Lease:
@@ -140,12 +140,12 @@
     def __init__(self, holder: str, timing: LeaseTiming) -> None:
         self._holder = holder
         self._timing = timing
-        self._seen: Seen | None = None
+        self._seen: VersionedLeaseRow | None = None
         self._version: int | None = None
         self._seen_at: Millis = 0
         self._fence: int | None = None
         self._valid_until: Millis = 0
-        self._least_fence = 0
+        self._min_fence = 0
         self._map_id = ""
         self._started: dict[int, Millis] = {}
         self._pending: LeaseAction | None = None
@@ -163,23 +163,23 @@
 
     def fence_at(self, now: Millis) -> int | None:
         """Return the fence if this process holds the lease at ``now``."""
-        if now >= self._valid_until - self._timing.margin:
+        if now >= self._valid_until - self._timing.safety_margin:
             return None
         return self._fence
 
-    def put_in_force(self, map_id: str) -> None:
+    def record_active_map(self, map_id: str) -> None:
         """Store ``map_id`` with the next renewal, for successors."""
         self._map_id = map_id
 
-    def drop(self, least_fence: int = 0) -> None:
-        """Stop using the present fence; the next one is above ``least_fence``.
+    def abandon(self, min_fence: int = 0) -> None:
+        """Stop using the present fence; the next one is above ``min_fence``.
 
         What goes wrong without: a coordinator that starts over under the same
         fence gives order numbers a second time. And ranks may know a higher
         fence than the table does, when it was restored from an older copy.
         """
         self._fence = None
-        self._least_fence = max(self._least_fence, least_fence)
+        self._min_fence = max(self._min_fence, min_fence)
         self._act_at = 0
 
     def tick(self, now: Millis) -> LeaseAction | None:
@@ -189,29 +189,29 @@
         self._pending = self._due(now)
         return self._pending
 
-    def was_read(self, seen: Seen | None, now: Millis) -> None:
+    def on_read(self, seen: VersionedLeaseRow | None, now: Millis) -> None:
         """Take in what was read; None if the platform gave no answer."""
         self._pending = None
-        self._act_at = now + self._timing.poll_every
+        self._act_at = now + self._timing.poll_interval
         if seen is not None:
             self._look(seen, now)
 
-    def was_written(self, outcome: WriteOutcome, now: Millis) -> None:
+    def on_write_outcome(self, outcome: WriteOutcome, now: Millis) -> None:
         """Take in what became of the write that was out."""
         write, self._pending = self._pending, None
         match outcome:
-            case Took(version):
-                self._look(Seen(write.row, version), now)
-            case Lost(seen):
-                self._act_at = now + self._timing.poll_every
+            case WriteSucceeded(version):
+                self._look(VersionedLeaseRow(write.row, version), now)
+            case WriteConflict(seen):
+                self._act_at = now + self._timing.poll_interval
                 self._look(seen, now)
-            case Unsure():
+            case OutcomeUnknown():
                 # The row is read back: taken for not written, the lease would
                 # be held unknown to its holder, and all would wait for its end.
                 self._seen = None
-                self._act_at = now + self._timing.poll_every // 5
-            case NotWritten():
-                self._act_at = now + self._timing.poll_every
+                self._act_at = now + self._timing.poll_interval // 5
+            case WriteNotApplied():
+                self._act_at = now + self._timing.poll_interval
 
     def release(self, now: Millis) -> WriteLease | None:
         """Return the write that lets a successor follow at once, if it is held."""
@@ -228,14 +228,14 @@
             return self._write(self._fence, now)
         if self._is_free(now):
             known = self._seen.row.fence if self._seen.row else 0
-            return self._write(max(known, self._least_fence) + 1, now)
+            return self._write(max(known, self._min_fence) + 1, now)
         return ReadLease()
 
     def _is_free(self, now: Millis) -> bool:
         row = self._seen.row
         if row is None or row.released or row.holder == self._holder:
             return True
-        return now - self._seen_at >= self._timing.term
+        return now - self._seen_at >= self._timing.duration
 
     def _write(self, fence: int, now: Millis) -> WriteLease:
         attempt = 1 + max(self._started, default=0)
@@ -243,7 +243,7 @@
         row = LeaseRow(self._holder, fence, attempt, self._map_id)
         return WriteLease(row, self._seen.version)
 
-    def _look(self, seen: Seen, now: Millis) -> None:
+    def _look(self, seen: VersionedLeaseRow, now: Millis) -> None:
         if seen.version != self._version or seen.row is None:
             self._seen_at = now
         self._seen, self._version = seen, seen.version
@@ -256,13 +256,13 @@
 
     def _keep(self, row: LeaseRow) -> None:
         started = self._started.get(row.attempt)
-        if started is None or row.fence <= self._least_fence:
+        if started is None or row.fence <= self._min_fence:
             return
         self._fence = row.fence
         self._valid_until = self._term_from(started)
-        self._act_at = started + self._timing.renew_every
+        self._act_at = started + self._timing.renew_interval
         later = {n: at for n, at in self._started.items() if n >= row.attempt}
         self._started = later
 
     def _term_from(self, started: Millis) -> Millis:
-        return started + self._timing.term
+        return started + self._timing.duration
--- a/src/azurefold/core/groups/map_change.py
+++ b/src/azurefold/core/groups/map_change.py
@@ -23,21 +23,21 @@
 from azurefold.core.groups.map_orders import (
     REPORT_AGE_MS,
     Arm,
-    AskReport,
     ChangeAction,
     ChangeEnd,
+    ChangeFinished,
     ChangePolicy,
     Disarm,
-    Ended,
     Hold,
     Prepare,
     RankOrder,
     RankView,
     Release,
+    RequestReport,
     SendOrder,
     Verdict,
 )
-from azurefold.core.groups.passes import Passes
+from azurefold.core.groups.pass_estimate import PassEstimate
 
 __all__ = ["MapChange"]
 
@@ -47,8 +47,8 @@
     HOLDING = "holding"
     ARMING = "arming"
     RELEASING = "releasing"
-    TAKING_BACK = "taking_back"
-    OVER = "over"
+    ROLLING_BACK = "taking_back"
+    FINISHED = "over"
 
 
 @dataclass(slots=True)
@@ -71,7 +71,7 @@
     size: int
     policy: ChangePolicy = field(default_factory=ChangePolicy)
     step: int = 0
-    holders: list[int] = field(default_factory=list)
+    holding_ranks: list[int] = field(default_factory=list)
     _phase: _Phase = _Phase.PREPARING
     _done: set[int] = field(default_factory=set)
     _out: set[int] = field(default_factory=set)
@@ -85,7 +85,7 @@
     _entered: Millis = 0
     _look_at: Millis = 0
     _tries: int = 0
-    _passes: Passes = field(default_factory=Passes)
+    _passes: PassEstimate = field(default_factory=PassEstimate)
     _arming_ms: Millis = 0
     _preparing_ms: Millis = 0
     _answering_ms: Millis = 0
@@ -118,11 +118,11 @@
         return self._phase.value
 
     @property
-    def is_over(self) -> bool:
+    def is_finished(self) -> bool:
         """Whether nothing is left to do."""
-        return self._phase is _Phase.OVER
+        return self._phase is _Phase.FINISHED
 
-    def begin(
+    def start(
         self, pass_ms: float, now: Millis, load_ms: Millis | None = None
     ) -> list[ChangeAction]:
         """Have all ranks load the new map.
@@ -137,14 +137,14 @@
             known: ranks then have to report that they are done, which they do some
             200 ms later, and only after that the pass is chosen.
         """
-        self._passes.length_ms = pass_ms
+        self._passes.pass_ms = pass_ms
         self._load_ms = load_ms
         self._began = self._entered = now
-        self._look_at = now + self.policy.look_every
+        self._look_at = now + self.policy.report_poll_interval
         return self._to_all(Prepare(self.version), now)
 
     def resume(
-        self, step: int, holders: list[int], now: Millis, *, arm: bool
+        self, step: int, holding_ranks: list[int], now: Millis, *, arm: bool
     ) -> list[ChangeAction]:
         """Go on with a hold that is in place: arm all ranks, or only release.
 
@@ -152,25 +152,25 @@
         ----------
         step : int
             The pass that the group is held before.
-        holders : list of int
+        holding_ranks : list of int
             Ranks that hold it.
         now : int
         arm : bool
             Whether any rank is armed; then all have to be.
         """
         self.step = step
-        self.holders = holders
+        self.holding_ranks = holding_ranks
         self._tries = 1 if arm else -1
         if not arm:
             return self._release(now)
         self._enter(_Phase.ARMING, now)
         return self._to_all(Arm(self.version, step), now)
 
-    def stepped(self, step: int, now: Millis) -> None:
+    def record_pass_start(self, step: int, now: Millis) -> None:
         """Take in a pass that had begun at ``now``."""
-        self._passes.begun(step, now)
+        self._passes.record_start(step, now)
 
-    def answered(
+    def on_verdict(
         self, rank: int, order: RankOrder, verdict: Verdict, now: Millis
     ) -> list[ChangeAction]:
         """Take in what came of an order."""
@@ -185,17 +185,17 @@
                 return self._on_arm(rank, verdict, now)
             case _Phase.RELEASING, Release():
                 return self._on_release(rank, verdict, now)
-            case _Phase.TAKING_BACK, Disarm():
+            case _Phase.ROLLING_BACK, Disarm():
                 return self._on_disarm(rank, verdict, now)
         return []
 
-    def reported(self, view: RankView, now: Millis) -> list[ChangeAction]:
+    def on_report(self, view: RankView, now: Millis) -> list[ChangeAction]:
         """Take in a rank's report."""
-        if self.is_over:
+        if self.is_finished:
             return []
         if view.epoch != self.epoch:
             return self._end(ChangeEnd.NEW_EPOCH)
-        self.stepped(view.step, now - REPORT_AGE_MS)
+        self.record_pass_start(view.step, now - REPORT_AGE_MS)
         match self._phase:
             case _Phase.PREPARING if view.prepared == self.version:
                 self._done.add(view.rank)
@@ -204,7 +204,7 @@
             case _Phase.ARMING if self.version in (view.armed, view.version):
                 return self._armed(view.rank, now)
             case _Phase.RELEASING if view.step >= self.step:
-                return self._end(ChangeEnd.IN_FORCE)
+                return self._end(ChangeEnd.IN_EFFECT)
         return []
 
     def tick(self, now: Millis) -> list[ChangeAction]:
@@ -214,7 +214,7 @@
                 return self._tick_preparing(now)
             case _Phase.HOLDING | _Phase.ARMING | _Phase.RELEASING:
                 return self._tick_held(now)
-            case _Phase.TAKING_BACK:
+            case _Phase.ROLLING_BACK:
                 return self._tick_held(now)
         return []
 
@@ -223,7 +223,7 @@
             return self._end(ChangeEnd.NOT_PREPARED)
         if self._knows_when_loaded:
             # Sooner than its lead the hold would stand for longer than it has to.
-            is_time = now >= self._loaded_at - self.policy.lead
+            is_time = now >= self._loaded_at - self.policy.lead_time
             return self._hold(now) if is_time else []
         missing = [rank for rank in range(self.size) if rank not in self._done]
         actions: list[ChangeAction] = []
@@ -233,8 +233,8 @@
                 self._repeated.add(rank)
                 actions += self._send(rank, Prepare(self.version), now)
         if now >= self._look_at:
-            self._look_at = now + self.policy.look_every
-            actions += [AskReport(rank) for rank in missing]
+            self._look_at = now + self.policy.report_poll_interval
+            actions += [RequestReport(rank) for rank in missing]
         return actions
 
     @property
@@ -243,7 +243,7 @@
         return self._load_ms is not None and len(self._loading) == self.size
 
     def _tick_held(self, now: Millis) -> list[ChangeAction]:
-        if now - self._entered >= self.policy.patience:
+        if now - self._entered >= self.policy.hold_timeout:
             return self._end(ChangeEnd.STUCK)
         missing = [rank for rank in self._wanted() if rank not in self._done]
         ready = [rank for rank in missing if rank not in self._out]
@@ -254,9 +254,9 @@
     def _wanted(self) -> Iterable[int]:
         match self._phase:
             case _Phase.HOLDING:
-                return self.holders[-1:]
+                return self.holding_ranks[-1:]
             case _Phase.RELEASING:
-                return self.holders
+                return self.holding_ranks
         return range(self.size)
 
     def _order(self) -> RankOrder:
@@ -271,20 +271,22 @@
 
     def _hold(self, now: Millis) -> list[ChangeAction]:
         self._tries += 1
-        if self._tries > self.policy.hold_tries:
+        if self._tries > self.policy.max_hold_attempts:
             return self._end(ChangeEnd.NOT_PREPARED)
         if self._phase is _Phase.PREPARING:
             self._preparing_ms = now - self._began
-        lead = max(self.policy.lead, self._loaded_at - now)
-        if self._orders_lost or self.policy.orders_get_lost:
-            lead += self.policy.lossy_lead
-        ahead = max(self._passes.until(now + lead, now), self.policy.least_lead_passes)
-        self.step = self._passes.newest + ahead + 2 * (self._tries - 1)
+        lead = max(self.policy.lead_time, self._loaded_at - now)
+        if self._orders_lost or self.policy.has_lost_orders:
+            lead += self.policy.lossy_lead_time
+        ahead = max(
+            self._passes.passes_until(now + lead, now), self.policy.min_lead_passes
+        )
+        self.step = self._passes.newest_started + ahead + 2 * (self._tries - 1)
         # One rank is enough to hold the group. Another one each time, should
         # the last be the one that does not answer.
-        self.holders = [(self.version + self._tries) % self.size]
+        self.holding_ranks = [(self.version + self._tries) % self.size]
         self._enter(_Phase.HOLDING, now)
-        return self._send(self.holders[0], Hold(self.step), now)
+        return self._send(self.holding_ranks[0], Hold(self.step), now)
 
     def _on_prepare(self, rank: int, verdict: Verdict, now: Millis) -> None:
         # A repeat is refused where the order before it was carried out and only its
@@ -310,22 +312,22 @@
                 return []
             case Verdict.REFUSED:
                 # The pass has begun, and no hold for it can take effect later.
-                self.stepped(self.step, now)
+                self.record_pass_start(self.step, now)
                 return self._hold(now)
         # It may hold the group now, or later, so it is released with the rest.
-        self.holders.append((rank + 1) % self.size)
-        return self._send(self.holders[-1], Hold(self.step), now)
+        self.holding_ranks.append((rank + 1) % self.size)
+        return self._send(self.holding_ranks[-1], Hold(self.step), now)
 
     def _on_arm(self, rank: int, verdict: Verdict, now: Millis) -> list[ChangeAction]:
         match verdict:
             case Verdict.ACCEPTED:
                 return self._armed(rank, now)
             case Verdict.REFUSED if self._may_still_load(now):
-                self._next_at[rank] = now + self.policy.load_repeat
+                self._next_at[rank] = now + self.policy.arm_retry_interval
                 return []
             case Verdict.REFUSED:
-                return self._take_back(now)
-        return [AskReport(rank)]
+                return self._roll_back(now)
+        return [RequestReport(rank)]
 
     def _may_still_load(self, now: Millis) -> bool:
         """Whether a rank that refuses to be armed may be loading still.
@@ -334,7 +336,7 @@
         the group at its pass; an order to arm that came at that moment would have
         one rank run the pass under another map.
         """
-        in_time = now - self._entered < self.policy.arm_within
+        in_time = now - self._entered < self.policy.arm_timeout
         return self._knows_when_loaded and in_time
 
     def _armed(self, rank: int, now: Millis) -> list[ChangeAction]:
@@ -348,7 +350,9 @@
     def _release(self, now: Millis) -> list[ChangeAction]:
         self._enter(_Phase.RELEASING, now)
         order = Release(self.step)
-        return [action for r in self.holders for action in self._send(r, order, now)]
+        return [
+            action for r in self.holding_ranks for action in self._send(r, order, now)
+        ]
 
     def _on_release(
         self, rank: int, verdict: Verdict, now: Millis
@@ -357,21 +361,21 @@
         if verdict is Verdict.LOST:
             return []
         self._done.add(rank)
-        if any(holder not in self._done for holder in self.holders):
+        if any(holder not in self._done for holder in self.holding_ranks):
             return []
         return self._end(self._outcome())
 
     def _outcome(self) -> ChangeEnd:
-        return ChangeEnd.TAKEN_BACK if self._tries < 0 else ChangeEnd.IN_FORCE
+        return ChangeEnd.ROLLED_BACK if self._tries < 0 else ChangeEnd.IN_EFFECT
 
-    def _take_back(self, now: Millis) -> list[ChangeAction]:
+    def _roll_back(self, now: Millis) -> list[ChangeAction]:
         """Disarm all ranks, since one of them cannot be armed.
 
         An order to arm that is carried out after that is refused: the pass
         begins within milliseconds of the last rank's answer.
         """
         self._tries = -1
-        self._enter(_Phase.TAKING_BACK, now)
+        self._enter(_Phase.ROLLING_BACK, now)
         return self._to_all(Disarm(self.version), now)
 
     def _on_disarm(
@@ -387,7 +391,9 @@
 
     def _send(self, rank: int, order: RankOrder, now: Millis) -> list[ChangeAction]:
         first = isinstance(order, Prepare)
-        wait = self.policy.prepare_repeat if first else self.policy.repeat
+        wait = (
+            self.policy.prepare_retry_interval if first else self.policy.retry_interval
+        )
         self._next_at[rank] = now + wait
         self._out.add(rank)
         return [SendOrder(rank, order)]
@@ -399,5 +405,5 @@
         self._out = set()
 
     def _end(self, end: ChangeEnd) -> list[ChangeAction]:
-        self._phase = _Phase.OVER
-        return [Ended(end)]
+        self._phase = _Phase.FINISHED
+        return [ChangeFinished(end)]
--- a/src/azurefold/core/groups/map_orders.py
+++ b/src/azurefold/core/groups/map_orders.py
@@ -6,17 +6,17 @@
 from azurefold.core.clock import Millis
 
 __all__ = [
-    "ARM_WITHIN_MS",
-    "PREPARE_WITHIN_MS",
-    "REPEAT_MS",
+    "ARM_TIMEOUT_MS",
+    "PREPARE_ANSWER_TIMEOUT_MS",
+    "ORDER_RETRY_MS",
     "REPORT_AGE_MS",
     "Arm",
-    "AskReport",
+    "RequestReport",
     "ChangeAction",
     "ChangeEnd",
     "ChangePolicy",
     "Disarm",
-    "Ended",
+    "ChangeFinished",
     "Hold",
     "Prepare",
     "RankOrder",
@@ -24,7 +24,7 @@
     "Release",
     "SendOrder",
     "Verdict",
-    "change_policy",
+    "make_change_policy",
 ]
 
 REPORT_AGE_MS: Millis = 250
@@ -41,15 +41,15 @@
 """Of 72 orders to arm some get no answer where one in ten gets none, and each is sent
 again twice on average."""
 
-ARM_WITHIN_MS: Millis = 150
+ARM_TIMEOUT_MS: Millis = 150
 """The longest that a hold stands before ranks are armed. Another coordinator lets it
 stand for longer before it releases a group in which no rank seems to be armed."""
 
-REPEAT_MS: Millis = 150
+ORDER_RETRY_MS: Millis = 150
 """Until an order other than to prepare that got no answer is sent again: late enough
 for 72 answers, soon enough that one lost order keeps no group from its pass."""
 
-PREPARE_WITHIN_MS: Millis = 400
+PREPARE_ANSWER_TIMEOUT_MS: Millis = 400
 """The longest that an answer to a whole map is waited for: 72 maps on a slow link take
 200."""
 
@@ -116,7 +116,7 @@
     rank : int
     epoch : int
         Rises each time the group forms anew.
-    is_open : bool
+    is_running : bool
         Whether the group runs.
     step : int
         The last pass that was begun.
@@ -134,7 +134,7 @@
 
     rank: int
     epoch: int
-    is_open: bool
+    is_running: bool
     step: int
     version: int = 0
     prepared: int | None = None
@@ -153,7 +153,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AskReport:
+class RequestReport:
     """Ask a rank for its report."""
 
     rank: int
@@ -162,21 +162,21 @@
 class ChangeEnd(Enum):
     """How a change ended."""
 
-    IN_FORCE = "in_force"
-    TAKEN_BACK = "taken_back"
+    IN_EFFECT = "in_force"
+    ROLLED_BACK = "taken_back"
     NOT_PREPARED = "not_prepared"
     NEW_EPOCH = "new_epoch"
     STUCK = "stuck"
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
+class ChangeFinished:
     """The change is over; ``STUCK`` leaves the group held for a successor."""
 
     end: ChangeEnd
 
 
-ChangeAction = SendOrder | AskReport | Ended
+ChangeAction = SendOrder | RequestReport | ChangeFinished
 
 
 @dataclass(frozen=True, slots=True)
@@ -188,54 +188,54 @@
     prepare_timeout : int
         For all ranks to load the weights; beyond the 0.3 s that it takes, one
         repeat for a lost order.
-    prepare_repeat : int
+    prepare_retry_interval : int
         Until an order to prepare that got no answer is sent again; as long as its
         answer is waited for. Loading begins so much later at a rank that did not get
         it, and all others wait.
-    look_every : int
+    report_poll_interval : int
         Between two looks at the reports of ranks that are still loading.
-    load_repeat : int
+    arm_retry_interval : int
         Until a rank that may still be loading is told again to be armed.
-    arm_within : int
+    arm_timeout : int
         With the group held, for which ranks may still be loading.
-    lead : int
+    lead_time : int
         From the choice of a pass to that pass: the exchanges with the ranks. If it
         is too short the group is held, and all its streams are late.
-    lossy_lead : int
+    lossy_lead_time : int
         Added where orders get no answer. Without it the group was held for 0.44 s
         when one order in ten got none.
-    orders_get_lost : bool
+    has_lost_orders : bool
         Whether orders got no answer lately.
-    least_lead_passes : int
+    min_lead_passes : int
         Passes that lie between at least.
-    repeat : int
+    retry_interval : int
         Until an order other than to prepare is sent again.
-    patience : int
+    hold_timeout : int
         With the group held, until another coordinator should try.
-    hold_tries : int
+    max_hold_attempts : int
         Passes to try before the change is given up.
     """
 
     prepare_timeout: Millis = 2_500
-    prepare_repeat: Millis = PREPARE_WITHIN_MS
-    look_every: Millis = 120
-    load_repeat: Millis = 30
-    arm_within: Millis = ARM_WITHIN_MS
-    lead: Millis = 260
-    lossy_lead: Millis = _LOSSY_LEAD_MS
-    orders_get_lost: bool = False
-    least_lead_passes: int = 3
-    repeat: Millis = 60
-    patience: Millis = 1_200
-    hold_tries: int = 6
-
-
-def change_policy(
+    prepare_retry_interval: Millis = PREPARE_ANSWER_TIMEOUT_MS
+    report_poll_interval: Millis = 120
+    arm_retry_interval: Millis = 30
+    arm_timeout: Millis = ARM_TIMEOUT_MS
+    lead_time: Millis = 260
+    lossy_lead_time: Millis = _LOSSY_LEAD_MS
+    has_lost_orders: bool = False
+    min_lead_passes: int = 3
+    retry_interval: Millis = 60
+    hold_timeout: Millis = 1_200
+    max_hold_attempts: int = 6
+
+
+def make_change_policy(
     size: int,
     arming_ms: Millis = 0,
     answering_ms: Millis = 0,
     *,
-    orders_get_lost: bool = False,
+    has_lost_orders: bool = False,
 ) -> ChangePolicy:
     """Return the waits of a change for a group of ``size`` ranks.
 
@@ -247,23 +247,27 @@
     answering_ms : int
         What all ranks took lately to answer an order to prepare; 0 if that is not
         known.
-    orders_get_lost : bool
+    has_lost_orders : bool
         Whether orders got no answer lately.
 
     Examples
     --------
-    >>> change_policy(16).lead, change_policy(72).lead
+    >>> make_change_policy(16).lead_time, make_change_policy(72).lead_time
     (112, 364)
-    >>> change_policy(16, arming_ms=200).lead
+    >>> make_change_policy(16, arming_ms=200).lead_time
     340
-    >>> change_policy(16).prepare_repeat, change_policy(16, 40, 50).prepare_repeat
-    (400, 150)
+    >>> make_change_policy(16).prepare_retry_interval
+    400
+    >>> make_change_policy(16, 40, 50).prepare_retry_interval
+    150
     """
     arming = arming_ms or _ARM_MS * size
     lead = _EXCHANGE_MS + round(_ARMING_MARGIN * arming)
-    repeat = min(PREPARE_WITHIN_MS, max(REPEAT_MS, _ANSWERING_MARGIN * answering_ms))
+    repeat = min(
+        PREPARE_ANSWER_TIMEOUT_MS, max(ORDER_RETRY_MS, _ANSWERING_MARGIN * answering_ms)
+    )
     if not answering_ms:
-        repeat = PREPARE_WITHIN_MS
+        repeat = PREPARE_ANSWER_TIMEOUT_MS
     return ChangePolicy(
-        prepare_repeat=repeat, lead=lead, orders_get_lost=orders_get_lost
+        prepare_retry_interval=repeat, lead_time=lead, has_lost_orders=has_lost_orders
     )
--- a/src/azurefold/core/groups/popularity.py
+++ b/src/azurefold/core/groups/popularity.py
@@ -53,7 +53,7 @@
 
     Parameters
     ----------
-    interval : int
+    time_constant : int
         Time constant of the popularity, in milliseconds.
     reports : tuple of RankReport
         The last ones; empty before the first.
@@ -65,13 +65,13 @@
         One for each rank.
     """
 
-    interval: Millis
+    time_constant: Millis
     reports: tuple[RankReport, ...] = ()
     reported_at: Millis = 0
     layers: tuple[Popularity, ...] = ()
     paces: tuple[RankPace, ...] = ()
 
-    def reported(
+    def with_reports(
         self, reports: tuple[RankReport, ...], now: Millis
     ) -> "GroupPopularity":
         """Return the state after each rank has reported.
@@ -83,11 +83,11 @@
         span = now - self.reported_at
         if not begun or span <= 0:
             return GroupPopularity(
-                self.interval, reports, now, paces=initial_paces(len(reports))
+                self.time_constant, reports, now, paces=initial_paces(len(reports))
             )
         counts = _group_counts(self.reports, reports)
         known = self.layers or tuple(
-            new_popularity(len(layer), self.interval) for layer in counts
+            new_popularity(len(layer), self.time_constant) for layer in counts
         )
         layers = tuple(
             update_popularity(popularity, layer, span, now)
@@ -96,7 +96,7 @@
         work = _grown([r.work for r in self.reports], [r.work for r in reports])
         busy = _grown([r.busy_us for r in self.reports], [r.busy_us for r in reports])
         paces = update_paces(self.paces, work, busy, now)
-        return GroupPopularity(self.interval, reports, now, layers, paces)
+        return GroupPopularity(self.time_constant, reports, now, layers, paces)
 
     @property
     def is_known(self) -> bool:
@@ -109,7 +109,7 @@
         """The map that the ranks last said they use."""
         return self.reports[0].map_id
 
-    def views(self) -> tuple[LayerView, ...]:
+    def layer_views(self) -> tuple[LayerView, ...]:
         """Return the layers for the decision, those without tokens left out."""
         assignments = self.reports[0].layers
         rank_speeds = planning_speeds(self.paces)
@@ -125,9 +125,9 @@
         return find_stragglers(self.paces, now)
 
 
-def new_group_popularity(interval: Millis) -> GroupPopularity:
+def new_group_popularity(time_constant: Millis) -> GroupPopularity:
     """Return the popularity of a group that has not reported yet."""
-    return GroupPopularity(interval)
+    return GroupPopularity(time_constant)
 
 
 def _same_shape(before: tuple[RankReport, ...], after: tuple[RankReport, ...]) -> bool:
--- a/src/azurefold/core/groups/resumed_change.py
+++ b/src/azurefold/core/groups/resumed_change.py
@@ -4,10 +4,10 @@
 from azurefold.core.groups.map_change import MapChange
 from azurefold.core.groups.map_orders import ChangeAction, ChangePolicy, RankView
 
-__all__ = ["may_take_up", "resumed_change"]
+__all__ = ["can_resume", "resume_change"]
 
 
-def may_take_up(views: list[RankView]) -> bool:
+def can_resume(views: list[RankView]) -> bool:
     """Whether a hold that another coordinator placed may be taken up now.
 
     With no rank armed there is only a hold to release. What goes wrong if that is
@@ -31,7 +31,7 @@
     return max(view.step for view in views) >= max(held) - 1
 
 
-def resumed_change(
+def resume_change(
     views: list[RankView], policy: ChangePolicy, now: Millis
 ) -> tuple[MapChange, list[ChangeAction]] | None:
     """Take up what another coordinator has left behind.
@@ -58,5 +58,5 @@
     step = max(view.held for view in held)
     versions = {view.armed for view in views if view.armed is not None}
     change = MapChange(max(versions, default=0), views[0].epoch, len(views), policy)
-    holders = [view.rank for view in held]
-    return change, change.resume(step, holders, now, arm=bool(versions))
+    holding_ranks = [view.rank for view in held]
+    return change, change.resume(step, holding_ranks, now, arm=bool(versions))
--- a/src/azurefold/core/groups/samples.py
+++ b/src/azurefold/core/groups/sampled_popularity.py
@@ -52,7 +52,7 @@
         Milliseconds after which growth weighs 1/e, for slow drift.
     layers : tuple of tuple of float
         Growth of each expert's counts by layer, added up; empty before the first.
-    samples : int
+    usable_rounds : int
         Rounds that were taken in and may be planned for.
     is_unsettled : bool
         Whether the last growth may be of before and after a jump.
@@ -62,7 +62,7 @@
 
     time_constant: Millis
     layers: tuple[tuple[float, ...], ...] = ()
-    samples: int = 0
+    usable_rounds: int = 0
     is_unsettled: bool = False
     last_distance: float = 0.0
     _noise: float = _USUAL_NOISE
@@ -79,7 +79,7 @@
         """Popularity of each expert beside the others, by layer."""
         return self.layers
 
-    def take(self, samples: list[CountSample], now: Millis) -> bool:
+    def add_counts(self, samples: list[CountSample], now: Millis) -> bool:
         """Take in one round of counts; return whether it may be planned for.
 
         Ranks that were not asked last time, or began again, only give a base.
@@ -97,10 +97,10 @@
         )
         if not self._settles(summed, span):
             return False
-        self.samples += 1
+        self.usable_rounds += 1
         return True
 
-    def forget(self, endpoint: str) -> None:
+    def discard_endpoint(self, endpoint: str) -> None:
         """Forget the counts of an endpoint that has started again or is gone."""
         self._last.pop(endpoint, None)
 
@@ -113,7 +113,7 @@
         distance = _distance(self.layers, summed) if self.layers else 0.0
         self.last_distance = distance
         jumped = distance > max(_LEAST_JUMP, _JUMP_OVER_NOISE * self._noise)
-        if self.samples == 0:
+        if self.usable_rounds == 0:
             # What another coordinator saw is of long ago: there is no jump in this
             # growth to wait for the end of.
             self.layers = ()
--- a/src/azurefold/core/groups/termination.py
+++ b/src/azurefold/core/groups/termination.py
@@ -11,7 +11,7 @@
 from azurefold.core.groups import messages as msg
 from azurefold.core.groups.actions import Action, SendToRank
 from azurefold.core.groups.agent_state import AgentState
-from azurefold.core.groups.closed import Closed
+from azurefold.core.groups.closed_change import ClosedChange
 from azurefold.core.groups.engine import EngineReply, HoldBefore, UseFrom
 
 __all__ = ["PeerTermination"]
@@ -23,7 +23,7 @@
     def tick(self, now: Millis) -> list[Action]:
         """Ask the peers for the outcome when the coordinator stays silent."""
         closed = self._closed
-        if closed is None or self._pending is not None or now < closed.ask_at:
+        if closed is None or self._pending is not None or now < closed.ask_peers_at:
             return []
         if not self._engine.plan:
             # What happens: a replaced rank stands in for one that may have
@@ -32,8 +32,8 @@
             # left since. Only a coordinator that knows this incarnation lets it
             # in, so it neither asks nor answers.
             return []
-        again = now + self._timing.ask_every
-        self._closed = replace(closed, may_open=False, ask_at=again)
+        again = now + self._timing.peer_query_interval
+        self._closed = replace(closed, may_open=False, ask_peers_at=again)
         return self._reopen_if_promised() or [
             SendToRank(peer, msg.Ask(closed.number, closed.step, self._rank))
             for peer in range(self._size)
@@ -66,7 +66,7 @@
     ) -> list[Action]:
         if not reply.accepted:
             return []
-        self._closed = Closed(ask.number, ask.step, False, now)
+        self._closed = ClosedChange(ask.number, ask.step, False, now)
         return [self._promised(ask)]
 
     def _on_promised(self, promise: msg.Promised) -> list[Action]:
--- a/src/azurefold/gateway/groups/changes.py
+++ b/src/azurefold/gateway/groups/changes.py
@@ -10,19 +10,19 @@
 from azurefold.core.clock import Millis
 from azurefold.core.groups.map_change import MapChange
 from azurefold.core.groups.map_orders import (
-    ARM_WITHIN_MS,
-    AskReport,
+    ARM_TIMEOUT_MS,
     ChangeAction,
     ChangeEnd,
-    Ended,
+    ChangeFinished,
     Prepare,
     RankOrder,
     RankView,
+    RequestReport,
     SendOrder,
     Verdict,
-    change_policy,
+    make_change_policy,
 )
-from azurefold.core.groups.resumed_change import may_take_up, resumed_change
+from azurefold.core.groups.resumed_change import can_resume, resume_change
 from azurefold.gateway.groups.watch import GroupWatch
 from azurefold.internal.logs import log_event
 
@@ -37,7 +37,7 @@
 """After an order that got no answer, for which more of them are expected."""
 
 
-_UNARMED_HOLD_MS: Millis = ARM_WITHIN_MS + 350
+_UNARMED_HOLD_MS: Millis = ARM_TIMEOUT_MS + 350
 """For which a hold without any armed rank is left alone: reports are up to 300 ms
 old."""
 
@@ -117,13 +117,13 @@
         now = self._now
         self._planned = plan.placements
         lossy = now - self._order_lost_at < _LOSSY_FOR_MS
-        policy = change_policy(
-            view.size, self._arming_ms, self._answering_ms, orders_get_lost=lossy
+        policy = make_change_policy(
+            view.size, self._arming_ms, self._answering_ms, has_lost_orders=lossy
         )
         self._change = MapChange(version, view.epoch, view.size, policy)
-        self._change.stepped(view.step, view.step_at)
+        self._change.record_pass_start(view.step, view.step_at)
         self._began = now
-        self._act(self._change.begin(view.pass_ms, now, self._load_ms(plan)))
+        self._act(self._change.start(view.pass_ms, now, self._load_ms(plan)))
 
     def take_up_hold(self) -> None:
         """Bring to its end what another coordinator has left behind.
@@ -134,12 +134,12 @@
         if self.watch.view.oldest_report_at - self._ended_at < _STALE_HOLD_MS:
             return
         views = [self.watch.view.views[rank] for rank in range(self.watch.view.size)]
-        if not may_take_up(views) or self._may_be_armed_soon(views):
+        if not can_resume(views) or self._may_be_armed_soon(views):
             return
         if self.row.next_version() is None:
             return
-        policy = change_policy(self.watch.view.size)
-        resumed = resumed_change(views, policy, self._now)
+        policy = make_change_policy(self.watch.view.size)
+        resumed = resume_change(views, policy, self._now)
         if resumed is None:
             return
         self._change, actions = resumed
@@ -183,16 +183,16 @@
             match action:
                 case SendOrder(rank=rank, order=order):
                     self.watch.calls.spawn(self._give, self._change, rank, order)
-                case AskReport(rank=rank):
+                case RequestReport(rank=rank):
                     self.watch.calls.spawn(self._ask_report, self._change, rank)
-                case Ended(end=end):
+                case ChangeFinished(end=end):
                     self._ended(end)
 
     def _give(self, change: MapChange, rank: int, order: RankOrder) -> None:
         client = self.watch.client_of(rank)
         verdict = Verdict.LOST
         if client is not None and isinstance(order, Prepare):
-            within = change.policy.prepare_repeat
+            within = change.policy.prepare_retry_interval
             verdict = client.give(order, change.epoch, self._planned, within)
         elif client is not None:
             verdict = client.give(order, change.epoch)
@@ -213,7 +213,7 @@
                 verdict=verdict.value,
                 phase=change.phase,
             )
-        self._act(change.answered(rank, order, verdict, self._now))
+        self._act(change.on_verdict(rank, order, verdict, self._now))
 
     def _ask_report(self, change: MapChange, rank: int) -> None:
         client = self.watch.client_of(rank)
@@ -224,7 +224,7 @@
             # The endpoint has moved to another group, whose passes are others.
             return
         now = self._now
-        self._act(change.reported(report.view, now))
+        self._act(change.on_report(report.view, now))
 
     def _ended(self, end: ChangeEnd) -> None:
         now = self._now
@@ -241,15 +241,15 @@
             preparing_ms=change.preparing_ms,
             last_rank=change.last_rank,
             arming_ms=change.arming_ms,
-            lead_ms=change.policy.lead,
+            lead_ms=change.policy.lead_time,
         )
         self._learn_arming(change.arming_ms)
         self._answering_ms = max(change.answering_ms, self._answering_ms // 2)
         self.watch.look_soon()
         self._ended_at = now
-        if end is ChangeEnd.IN_FORCE:
+        if end is ChangeEnd.IN_EFFECT:
             self._switch_step, self._switch_epoch = change.step, change.epoch
-        if end is ChangeEnd.IN_FORCE and self._planned:
+        if end is ChangeEnd.IN_EFFECT and self._planned:
             self.watch.map_is(change.version, self._planned)
         if end is ChangeEnd.STUCK and self.watch.view.is_whole:
             # Another node may reach the rank. Of a group that is broken no node
--- a/src/azurefold/gateway/groups/control.py
+++ b/src/azurefold/gateway/groups/control.py
@@ -87,14 +87,14 @@
             return False
         if view.version == 0 and view.epoch != self._planned_epoch:
             return True
-        is_newer = popularity.samples != self._planned_samples
+        is_newer = popularity.usable_rounds != self._planned_samples
         return (is_newer or self._is_partly_done) and self.changes.is_switched
 
     def _plan(self) -> None:
         """Plan a map for the present popularity, and begin the change if it pays."""
         service = self.watch.service
         popularity = self.watch.of_service.popularity
-        self._planned_samples = popularity.samples
+        self._planned_samples = popularity.usable_rounds
         self._planned_epoch = self.watch.view.epoch
         plan = plan_map(self.watch.view, popularity.rates, service.view.engine)
         share = pass_share(self.watch.view.pass_ms, service.promised_gap_ms)
@@ -200,7 +200,7 @@
         longest = max((view.pass_ms for view in views), default=0.0)
         sampling = sampling_of(
             largest,
-            watch.popularity.samples,
+            watch.popularity.usable_rounds,
             watch.service.view.engine,
             pass_share(longest, watch.service.promised_gap_ms),
         )
--- a/src/azurefold/gateway/groups/coordinator.py
+++ b/src/azurefold/gateway/groups/coordinator.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from azurefold.core.clock import Millis
-from azurefold.core.groups.leadership import Beat, Leadership
+from azurefold.core.groups.leadership import LeaderHeartbeat, Leadership
 from azurefold.core.groups.order_numbers import fence_of, order_number
 from azurefold.gateway.groups.control import ServiceControl, new_service_control
 from azurefold.gateway.groups.map_planning import is_worth_balancing
@@ -115,7 +115,7 @@
     @property
     def coordination(self) -> Coordination:
         """What the other gateways are told of it."""
-        if not self.leadership.holds:
+        if not self.leadership.is_leader:
             return Coordination(ended_term=self.ended_term)
         controls = self._controls.values()
         return Coordination(
@@ -129,11 +129,13 @@
         """Take in what another gateway tells."""
         now = self.state.clock.now()
         if message.ended_term:
-            self.leadership.ended(Beat(message.node, message.ended_term), now)
+            self.leadership.on_resignation(
+                LeaderHeartbeat(message.node, message.ended_term), now
+            )
         if not message.term:
             return
-        beat = Beat(message.node, message.term, message.is_changing)
-        if self.leadership.heard(beat, now):
+        beat = LeaderHeartbeat(message.node, message.term, message.is_changing)
+        if self.leadership.on_heartbeat(beat, now):
             log_event(_log, "lease_lost", term=message.term, holder=message.node)
             self._drop_controls()
 
@@ -150,16 +152,16 @@
             self._step()
 
     def _step(self) -> None:
-        if self.leadership.holds and self._is_leaving:
+        if self.leadership.is_leader and self._is_leaving:
             # A change under way is brought to its end: its group may be held, and
             # what ranks have loaded would be loaded once more.
             if not self.coordination.is_changing:
                 self.resign()
-        elif self.leadership.holds:
+        elif self.leadership.is_leader:
             self._coordinate()
         elif self.state.draining:
             return
-        elif self.leadership.should_take(self.state.clock.now()):
+        elif self.leadership.should_take_over(self.state.clock.now()):
             self._take()
 
     def next_version(self, above: int = 0) -> int | None:
@@ -177,11 +179,11 @@
             rank has had a version of a later term: this node first writes the row anew
             under a higher one.
         """
-        if not self.leadership.holds or self._is_leaving:
+        if not self.leadership.is_leader or self._is_leaving:
             # Another node holds the row: its term is not ours to give up.
             return None
         heard, peers = self.peers_heard()
-        if not self.leadership.may_change(heard, peers, self.state.clock.now()):
+        if not self.leadership.may_start_change(heard, peers, self.state.clock.now()):
             self.resign_when_idle()
             return None
         self._serial += 1
@@ -265,10 +267,10 @@
         known = max(self._row_term, self.leadership.term)
         era = self._row_era
         if not self._read_row():
-            self.leadership.unanswered(self.state.clock.now())
+            self.leadership.on_store_unanswered(self.state.clock.now())
             return
         if self._row_term > known:
-            self.leadership.refused(self._row_term, self.state.clock.now())
+            self.leadership.on_row_refused(self._row_term, self.state.clock.now())
             return
         if self._row_era != era is not None:
             self._row_term = known + _MOST_UNHEARD_WRITES
@@ -297,7 +299,7 @@
             case Applied(version=version, era=era):
                 self._row_version, self._row_era = version, era
                 self._row_term = max(version, term)
-                self.leadership.taken(self._row_term, asked_at)
+                self.leadership.on_row_acquired(self._row_term, asked_at)
                 log_event(
                     _log, event, level, term=self._row_term, took_ms=now - asked_at
                 )
@@ -305,7 +307,7 @@
                 self._row_era = era
                 return not self._refused(rows, holder, now)
             case NotApplied(reason=reason) | Uncertain(reason=reason):
-                self.leadership.unanswered(now)
+                self.leadership.on_store_unanswered(now)
                 log_event(_log, "lease_unanswered", logging.WARNING, why=reason)
         return True
 
@@ -317,10 +319,10 @@
         known = self._row_version
         if row is None:
             self._row_version = 0
-            return self.leadership.holds and known > 0
+            return self.leadership.is_leader and known > 0
         present = _holder_in(row.value)
         self._know_row(row, present)
-        if self.leadership.holds and self._row_term < self.leadership.term:
+        if self.leadership.is_leader and self._row_term < self.leadership.term:
             log_event(
                 _log,
                 "lease_row_went_back",
@@ -332,11 +334,11 @@
             return True
         if present.is_same_holder(holder):
             # A write of ours took effect and its answer was lost.
-            asked_at = now - self.leadership.policy.silence
-            self.leadership.taken(self._row_term, asked_at)
+            asked_at = now - self.leadership.policy.heartbeat_timeout
+            self.leadership.on_row_acquired(self._row_term, asked_at)
             return False
-        was_holder = known != 0 and self.leadership.holds
-        self.leadership.refused(self._row_term, now)
+        was_holder = known != 0 and self.leadership.is_leader
+        self.leadership.on_row_refused(self._row_term, now)
         if not was_holder:
             # Only now is it known whose the row was. If its holder is alive,
             # its beats will tell before the next try.
--- a/src/azurefold/gateway/groups/view.py
+++ b/src/azurefold/gateway/groups/view.py
@@ -58,7 +58,7 @@
             return False
         views = self.views.values()
         one_epoch = len({view.epoch for view in views}) == 1
-        return one_epoch and all(view.is_open for view in views)
+        return one_epoch and all(view.is_running for view in views)
 
     @property
     def standing(self) -> Standing:
@@ -68,7 +68,7 @@
         each other: told as a group that is down, one gateway's bad path would keep
         all others from a group that runs.
         """
-        if all(view.is_open for view in self.views.values()):
+        if all(view.is_running for view in self.views.values()):
             return Standing.RUNS
         return Standing.FORMS if len(self.views) == self.size else Standing.DOWN
 
--- a/src/azurefold/gateway/groups/watch.py
+++ b/src/azurefold/gateway/groups/watch.py
@@ -10,7 +10,7 @@
 from azurefold.core.balance.placement import Placement
 from azurefold.core.balance.plan import initial_placement
 from azurefold.core.clock import Millis
-from azurefold.core.groups.samples import SampledPopularity
+from azurefold.core.groups.sampled_popularity import SampledPopularity
 from azurefold.gateway.groups.rank_calls import RankCalls
 from azurefold.gateway.groups.view import GroupView
 from azurefold.gateway.service_state import GatewayService
@@ -148,7 +148,7 @@
                 view.stepped(step, now)
         if not heard:
             return False
-        fresh = self.popularity.take([sample for sample, _ in heard], now)
+        fresh = self.popularity.add_counts([sample for sample, _ in heard], now)
         log_event(
             _log,
             "popularity_sampled",
@@ -212,7 +212,7 @@
             return
         if report.born > born:
             self._born[endpoint] = report.born
-            self.popularity.forget(endpoint)
+            self.popularity.discard_endpoint(endpoint)
         self._join(endpoint, report)
         view = self.groups[report.group]
         view.reported(endpoint, report.view, now)
@@ -244,7 +244,7 @@
         for endpoint in gone:
             self._leave(endpoint)
             self._born.pop(endpoint, None)
-            self.popularity.forget(endpoint)
+            self.popularity.discard_endpoint(endpoint)
         if gone:
             self.calls.keep_only(self.service.entries)
 
--- a/src/azurefold/platform/ranks.py
+++ b/src/azurefold/platform/ranks.py
@@ -10,7 +10,7 @@
 from azurefold.core.balance.placement import Placement
 from azurefold.core.clock import Millis
 from azurefold.core.groups.map_orders import (
-    REPEAT_MS,
+    ORDER_RETRY_MS,
     Arm,
     Disarm,
     Hold,
@@ -20,7 +20,7 @@
     Release,
     Verdict,
 )
-from azurefold.core.groups.samples import CountSample
+from azurefold.core.groups.sampled_popularity import CountSample
 from azurefold.internal.http_client import CONNECTION_ERRORS, http_client
 
 __all__ = ["HeldExperts", "RankClient", "RankReport", "rank_client"]
@@ -111,7 +111,7 @@
         view = RankView(
             rank=group.rank,
             epoch=group.epoch,
-            is_open=group.state == _OPEN,
+            is_running=group.state == _OPEN,
             step=read.step,
             version=read.version,
             prepared=read.prepared,
@@ -147,7 +147,7 @@
         order: RankOrder,
         epoch: int,
         placements: tuple[Placement, ...] = (),
-        timeout_ms: Millis = REPEAT_MS,
+        timeout_ms: Millis = ORDER_RETRY_MS,
     ) -> Verdict:
         """Give an order and return what came of it."""
         body = msgspec.json.encode(_order(order, epoch, placements))
--- a/src/azurefold/site_store/lease_table.py
+++ b/src/azurefold/site_store/lease_table.py
@@ -6,13 +6,13 @@
 
 from azurefold.core.groups.lease import (
     LeaseRow,
-    Lost,
-    NotWritten,
-    Seen,
-    Took,
-    Unsure,
+    OutcomeUnknown,
+    VersionedLeaseRow,
+    WriteConflict,
     WriteLease,
+    WriteNotApplied,
     WriteOutcome,
+    WriteSucceeded,
 )
 from azurefold.site_store.client import PlatformClient
 from azurefold.site_store.messages import (
@@ -37,7 +37,7 @@
 
     client: PlatformClient
 
-    def read(self, group: str) -> Seen | None:
+    def read(self, group: str) -> VersionedLeaseRow | None:
         """Return the group's row; None if the platform gave no answer."""
         read = self.client.read([_key(group)])
         if isinstance(read, Rows):
@@ -48,28 +48,30 @@
         """Carry ``write`` out, and say what became of it."""
         key = _key(group)
         value = msgspec.json.encode(write.row).decode()
-        condition = Condition(key, write.over_version)
+        condition = Condition(key, write.expected_version)
         written = self.client.write(Transaction((condition,), (Put(key, value),)))
         match written:
             case Written(versions):
-                return Took(versions[key])
+                return WriteSucceeded(versions[key])
             case Conflict(rows):
                 seen = _seen(rows.get(key))
-                return Unsure() if seen is None else Lost(seen)
+                return OutcomeUnknown() if seen is None else WriteConflict(seen)
             case Unavailable():
-                return NotWritten()
-        return Unsure()
+                return WriteNotApplied()
+        return OutcomeUnknown()
 
 
 def _key(group: str) -> str:
     return _PREFIX + group
 
 
-def _seen(row: Row | None) -> Seen | None:
+def _seen(row: Row | None) -> VersionedLeaseRow | None:
     if row is None:
-        return Seen()
+        return VersionedLeaseRow()
     try:
-        return Seen(msgspec.json.decode(row.value, type=LeaseRow), row.version)
+        return VersionedLeaseRow(
+            msgspec.json.decode(row.value, type=LeaseRow), row.version
+        )
     except msgspec.MsgspecError:
         # Overwritten, a row that a newer version of the program understands
         # would let two coordinators in. Nobody coordinates until it is mended.
--- a/tests/core/groups/rank_model.py
+++ b/tests/core/groups/rank_model.py
@@ -4,12 +4,12 @@
 
 from azurefold.core.groups.map_change import MapChange
 from azurefold.core.groups.map_orders import (
-    AskReport,
-    Ended,
+    ChangeFinished,
+    RequestReport,
     SendOrder,
     Verdict,
 )
-from azurefold.core.groups.resumed_change import may_take_up, resumed_change
+from azurefold.core.groups.resumed_change import can_resume, resume_change
 from azurefold_standins.order_ranks import ModelGroup
 
 ANSWER_TIMEOUT = 100
@@ -37,8 +37,8 @@
             return
         self.version += 1
         self.change = self.change_type(self.version, self.group.epoch, self.group.size)
-        self.change.stepped(self.group.step, self.now)
-        self.act(self.change.begin(50.0, self.now, self.load_ms))
+        self.change.record_pass_start(self.group.step, self.now)
+        self.act(self.change.start(50.0, self.now, self.load_ms))
 
     def act(self, actions):
         """Carry out a change's actions at once."""
@@ -46,11 +46,11 @@
             match action:
                 case SendOrder(rank=rank, order=order):
                     self._send(rank, order)
-                case AskReport(rank=rank):
+                case RequestReport(rank=rank):
                     if self.change is not None:
                         view = self.group.view(rank)
-                        self.act(self.change.reported(view, self.now))
-                case Ended(end=end):
+                        self.act(self.change.on_report(view, self.now))
+                case ChangeFinished(end=end):
                     self.ends.append(end)
                     self.change = None
 
@@ -68,7 +68,7 @@
             self.unanswered.append((self.now + ANSWER_TIMEOUT, change, rank, order))
             return
         verdict = self._carry_out(change.epoch, rank, order)
-        self.act(change.answered(rank, order, verdict, self.now))
+        self.act(change.on_verdict(rank, order, verdict, self.now))
 
     def _carry_out(self, epoch, rank, order):
         if epoch != self.group.epoch:
@@ -88,7 +88,7 @@
         self.unanswered = [each for each in self.unanswered if each[0] > self.now]
         for _, change, rank, order in due:
             if change is self.change:
-                self.act(change.answered(rank, order, Verdict.LOST, self.now))
+                self.act(change.on_verdict(rank, order, Verdict.LOST, self.now))
         if self.change is not None:
             self.act(self.change.tick(self.now))
 
@@ -101,10 +101,10 @@
         if self.change is not None:
             return
         views = [self.group.view(rank) for rank in range(self.group.size)]
-        if not may_take_up(views):
+        if not can_resume(views):
             return
         policy = MapChange(0, 0, 0).policy
-        resumed = resumed_change(views, policy, self.now)
+        resumed = resume_change(views, policy, self.now)
         if resumed is not None:
             self.change, actions = resumed
             self.act(actions)
--- a/tests/core/groups/test_leadership_by_one_row.py
+++ b/tests/core/groups/test_leadership_by_one_row.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from azurefold.core.groups.leadership import Beat, Leadership
+from azurefold.core.groups.leadership import LeaderHeartbeat, Leadership
 
 
 @pytest.fixture
@@ -14,29 +14,29 @@
 
 def test_a_node_waits_for_silence_and_its_turn(second):
     policy = second.policy
-    second.heard(Beat("n1", 1), now=0)
-    turn = policy.silence + policy.stagger
-    assert not second.should_take(turn - 1)
-    assert second.should_take(turn)
+    second.on_heartbeat(LeaderHeartbeat("n1", 1), now=0)
+    turn = policy.heartbeat_timeout + policy.stagger
+    assert not second.should_take_over(turn - 1)
+    assert second.should_take_over(turn)
 
 
 def test_beats_keep_a_node_from_taking_over(second):
     for now in range(0, 20_000, 500):
-        second.heard(Beat("n1", 4), now)
-        assert not second.should_take(now + 500)
+        second.on_heartbeat(LeaderHeartbeat("n1", 4), now)
+        assert not second.should_take_over(now + 500)
 
 
 def test_a_beat_of_an_older_term_does_not_count(second):
-    second.heard(Beat("n1", 7), now=0)
-    second.heard(Beat("n3", 5), now=10_000)
-    assert second.should_take(10_000)
+    second.on_heartbeat(LeaderHeartbeat("n1", 7), now=0)
+    second.on_heartbeat(LeaderHeartbeat("n3", 5), now=10_000)
+    assert second.should_take_over(10_000)
 
 
 def test_a_holder_that_hears_a_higher_term_stops(second):
-    second.taken(5, asked_at=0)
-    assert second.holds
-    assert second.heard(Beat("n1", 6), now=100)
-    assert not second.holds
+    second.on_row_acquired(5, asked_at=0)
+    assert second.is_leader
+    assert second.on_heartbeat(LeaderHeartbeat("n1", 6), now=100)
+    assert not second.is_leader
 
 
 def test_a_holder_out_of_touch_with_store_and_peers_begins_no_change():
@@ -47,10 +47,10 @@
     it hears few of its peers.
     """
     leadership = Leadership("n1")
-    leadership.taken(3, asked_at=1_000)
-    assert leadership.may_change(heard=0, peers=8, now=1_500)
-    assert not leadership.may_change(heard=3, peers=8, now=5_000)
-    assert leadership.policy.confirmed_for < leadership.policy.silence
+    leadership.on_row_acquired(3, asked_at=1_000)
+    assert leadership.may_start_change(reachable_peers=0, known_peers=8, now=1_500)
+    assert not leadership.may_start_change(reachable_peers=3, known_peers=8, now=5_000)
+    assert leadership.policy.confirmation_ttl < leadership.policy.heartbeat_timeout
 
 
 def test_a_holder_that_only_the_store_cannot_hear_goes_on():
@@ -60,19 +60,19 @@
     store's word. No other node could tell, since the holder's beats went on.
     """
     leadership = Leadership("n1")
-    leadership.taken(3, asked_at=1_000)
-    assert leadership.may_change(heard=8, peers=8, now=13_000)
+    leadership.on_row_acquired(3, asked_at=1_000)
+    assert leadership.may_start_change(reachable_peers=8, known_peers=8, now=13_000)
 
 
 def test_a_node_that_holds_nothing_begins_no_change(second):
-    assert not second.may_change(heard=8, peers=8, now=0)
+    assert not second.may_start_change(reachable_peers=8, known_peers=8, now=0)
 
 
 def test_a_lost_row_ends_the_term(second):
-    second.taken(5, asked_at=0)
-    assert second.refused(9, now=50)
-    assert not second.holds
-    assert not second.should_take(50 + second.policy.first_silence)
+    second.on_row_acquired(5, asked_at=0)
+    assert second.on_row_refused(9, now=50)
+    assert not second.is_leader
+    assert not second.should_take_over(50 + second.policy.initial_heartbeat_timeout)
 
 
 def test_a_node_that_has_just_started_waits_less(second):
@@ -82,34 +82,36 @@
     a holder that is no more, and waited as long again.
     """
     policy = second.policy
-    turn = policy.first_silence + policy.stagger
-    assert not second.should_take(turn - 1)
-    assert second.should_take(turn)
-    second.refused(term=4, now=turn)
-    assert second.should_take(turn + policy.first_silence + policy.stagger)
+    turn = policy.initial_heartbeat_timeout + policy.stagger
+    assert not second.should_take_over(turn - 1)
+    assert second.should_take_over(turn)
+    second.on_row_refused(term=4, now=turn)
+    assert second.should_take_over(
+        turn + policy.initial_heartbeat_timeout + policy.stagger
+    )
 
 
 def test_a_holder_that_gives_up_is_followed_at_once(second):
-    second.heard(Beat("n1", 4), now=1_000)
-    second.ended(Beat("n1", 4), now=1_100)
-    assert not second.should_take(1_100 + second.policy.stagger - 1)
-    assert second.should_take(1_100 + second.policy.stagger)
+    second.on_heartbeat(LeaderHeartbeat("n1", 4), now=1_000)
+    second.on_resignation(LeaderHeartbeat("n1", 4), now=1_100)
+    assert not second.should_take_over(1_100 + second.policy.stagger - 1)
+    assert second.should_take_over(1_100 + second.policy.stagger)
 
 
 def test_a_holder_that_resigns_lets_others_try(second):
-    second.taken(5, asked_at=0)
+    second.on_row_acquired(5, asked_at=0)
     second.resign(now=100)
-    assert not second.holds
-    assert not second.should_take(100 + second.policy.rest - 1)
-    assert second.should_take(100 + second.policy.rest)
+    assert not second.is_leader
+    assert not second.should_take_over(100 + second.policy.resign_backoff - 1)
+    assert second.should_take_over(100 + second.policy.resign_backoff)
 
 
 def test_after_no_answer_the_next_try_waits(second):
     now = 10_000
-    assert second.should_take(now)
-    second.unanswered(now)
-    assert not second.should_take(now + second.policy.retry - 1)
-    assert second.should_take(now + second.policy.retry)
+    assert second.should_take_over(now)
+    second.on_store_unanswered(now)
+    assert not second.should_take_over(now + second.policy.retry_delay - 1)
+    assert second.should_take_over(now + second.policy.retry_delay)
 
 
 def test_a_holder_that_falls_silent_within_a_change_is_succeeded_sooner(second):
@@ -119,15 +121,17 @@
     waited as long as for a holder that has nothing under way.
     """
     policy = second.policy
-    second.heard(Beat("n1", 4, is_changing=True), now=0)
-    turn = policy.changing_silence + policy.changing_stagger
-    assert turn < policy.silence
-    assert not second.should_take(turn - 1)
-    assert second.should_take(turn)
+    second.on_heartbeat(LeaderHeartbeat("n1", 4, is_changing=True), now=0)
+    turn = policy.heartbeat_timeout_in_change + policy.stagger_in_change
+    assert turn < policy.heartbeat_timeout
+    assert not second.should_take_over(turn - 1)
+    assert second.should_take_over(turn)
 
 
 def test_after_its_change_a_holder_is_waited_for_as_usual(second):
-    second.heard(Beat("n1", 4, is_changing=True), now=0)
-    second.heard(Beat("n1", 4), now=100)
-    assert not second.should_take(100 + second.policy.silence)
-    assert second.should_take(100 + second.policy.silence + second.policy.stagger)
+    second.on_heartbeat(LeaderHeartbeat("n1", 4, is_changing=True), now=0)
+    second.on_heartbeat(LeaderHeartbeat("n1", 4), now=100)
+    assert not second.should_take_over(100 + second.policy.heartbeat_timeout)
+    assert second.should_take_over(
+        100 + second.policy.heartbeat_timeout + second.policy.stagger
+    )
--- a/tests/core/groups/test_lease.py
+++ b/tests/core/groups/test_lease.py
@@ -15,12 +15,12 @@
     Lease,
     LeaseRow,
     LeaseTiming,
-    Lost,
-    NotWritten,
+    OutcomeUnknown,
     ReadLease,
-    Seen,
-    Took,
-    Unsure,
+    VersionedLeaseRow,
+    WriteConflict,
+    WriteNotApplied,
+    WriteSucceeded,
 )
 
 TIMING = LeaseTiming()
@@ -31,15 +31,15 @@
     """The row, and writes that are still on their way."""
 
     def __init__(self):
-        self.seen = Seen()
+        self.seen = VersionedLeaseRow()
         self.versions = 0
 
     def write(self, write):
-        if write.over_version != self.seen.version:
-            return Lost(self.seen)
+        if write.expected_version != self.seen.version:
+            return WriteConflict(self.seen)
         self.versions += 1
-        self.seen = Seen(write.row, self.versions)
-        return Took(self.versions)
+        self.seen = VersionedLeaseRow(write.row, self.versions)
+        return WriteSucceeded(self.versions)
 
 
 class OneHolder(RuleBasedStateMachine):
@@ -84,22 +84,22 @@
             case "done":
                 return self.table.write(write)
             case "refused":
-                return NotWritten()
+                return WriteNotApplied()
             case "late":
                 self.late.append(write)
             case "no answer":
                 self.table.write(write)
-        return Unsure()
+        return OutcomeUnknown()
 
     @rule(name=st.sampled_from(NAMES))
     def answer(self, name):
         if name not in self.answers:
             return
         match self.answers.pop(name):
-            case None | Seen() as seen:
-                self.leases[name].was_read(seen, self.now)
+            case None | VersionedLeaseRow() as seen:
+                self.leases[name].on_read(seen, self.now)
             case outcome:
-                self.leases[name].was_written(outcome, self.now)
+                self.leases[name].on_write_outcome(outcome, self.now)
 
     @precondition(lambda self: self.late)
     @rule()
@@ -114,7 +114,7 @@
 
     @rule(name=st.sampled_from(NAMES))
     def drop(self, name):
-        self.leases[name].drop()
+        self.leases[name].abandon()
 
     @invariant()
     def one_holder_at_most(self):
@@ -142,10 +142,10 @@
 class _CountsFromTheAnswer(Lease):
     """Takes the term to begin when the answer comes, which may be much later."""
 
-    def was_written(self, outcome, now):
-        if isinstance(outcome, Took):
+    def on_write_outcome(self, outcome, now):
+        if isinstance(outcome, WriteSucceeded):
             self._started = dict.fromkeys(self._started, now)
-        super().was_written(outcome, now)
+        super().on_write_outcome(outcome, now)
 
 
 class _NeverStops(Lease):
@@ -182,8 +182,8 @@
 def holding(name="a/1", now=0):
     """Return a table, and a lease that holds it from ``now`` on."""
     table, lease = Table(), Lease(name, TIMING)
-    lease.was_read(table.seen, now) if lease.tick(now) else None
-    lease.was_written(table.write(lease.tick(now + 500)), now + 500)
+    lease.on_read(table.seen, now) if lease.tick(now) else None
+    lease.on_write_outcome(table.write(lease.tick(now + 500)), now + 500)
     return table, lease
 
 
@@ -195,21 +195,21 @@
     """
     table, lease = Table(), Lease("a/1", TIMING)
     lease.tick(0)
-    lease.was_read(table.seen, 0)
+    lease.on_read(table.seen, 0)
     table.write(lease.tick(500))
-    lease.was_written(Unsure(), 1_500)
+    lease.on_write_outcome(OutcomeUnknown(), 1_500)
     assert lease.fence_at(1_500) is None
     assert lease.tick(1_600) == ReadLease()
-    lease.was_read(table.seen, 1_600)
+    lease.on_read(table.seen, 1_600)
     assert lease.fence_at(1_600) == 1
-    assert lease.fence_at(500 + TIMING.term - TIMING.margin) is None
+    assert lease.fence_at(500 + TIMING.duration - TIMING.safety_margin) is None
 
 
 def test_a_lease_that_lapsed_is_taken_again_under_a_higher_fence():
     table, lease = holding()
-    late = 500 + TIMING.term
+    late = 500 + TIMING.duration
     assert lease.fence_at(late) is None
-    lease.was_written(table.write(lease.tick(late)), late)
+    lease.on_write_outcome(table.write(lease.tick(late)), late)
     assert lease.fence_at(late) == 2
 
 
@@ -218,25 +218,25 @@
     other = Lease("b/1", TIMING)
     table.write(lease.release(600))
     other.tick(600)
-    other.was_read(table.seen, 600)
-    other.was_written(table.write(other.tick(1_100)), 1_100)
+    other.on_read(table.seen, 600)
+    other.on_write_outcome(table.write(other.tick(1_100)), 1_100)
     assert other.fence_at(1_100) == 2
 
 
 def test_a_fence_beyond_the_one_that_deposed_it_comes_next():
     """A table restored from an old copy shows lower fences than ranks know."""
     table, lease = holding()
-    lease.drop(least_fence=7)
-    lease.was_written(table.write(lease.tick(600)), 600)
+    lease.abandon(min_fence=7)
+    lease.on_write_outcome(table.write(lease.tick(600)), 600)
     assert lease.fence_at(600) == 8
 
 
 def test_a_successor_learns_the_map_in_force():
     table, lease = holding()
-    lease.put_in_force("m7")
-    lease.was_written(table.write(lease.tick(1_600)), 1_600)
+    lease.record_active_map("m7")
+    lease.on_write_outcome(table.write(lease.tick(1_600)), 1_600)
     other = Lease("b/1", TIMING)
     other.tick(1_600)
-    other.was_read(table.seen, 1_600)
+    other.on_read(table.seen, 1_600)
     assert (other.map_id, other.row.holder) == ("m7", "a/1")
     assert isinstance(table.seen.row, LeaseRow)
--- a/tests/core/groups/test_one_change_by_orders.py
+++ b/tests/core/groups/test_one_change_by_orders.py
@@ -9,12 +9,12 @@
 from azurefold.core.groups.map_orders import (
     Arm,
     ChangeEnd,
-    Ended,
+    ChangeFinished,
     Hold,
     SendOrder,
     Verdict,
 )
-from azurefold.core.groups.resumed_change import may_take_up
+from azurefold.core.groups.resumed_change import can_resume
 from azurefold_standins.order_ranks import ModelGroup
 
 SIZE = 3
@@ -60,10 +60,10 @@
     group = ModelGroup(SIZE)
     group.ranks[0].take(Hold(group.step + 3), group.step)
     views = [group.view(rank) for rank in range(SIZE)]
-    assert not may_take_up(views)
+    assert not can_resume(views)
     while group.begin_pass():
         pass
-    assert may_take_up([group.view(rank) for rank in range(SIZE)])
+    assert can_resume([group.view(rank) for rank in range(SIZE)])
 
 
 def test_a_hold_with_a_rank_armed_is_taken_up_at_once():
@@ -71,7 +71,7 @@
     group.ranks[1].take(map_change.Prepare(1), group.step)
     group.ranks[0].take(Hold(group.step + 3), group.step)
     group.ranks[1].take(Arm(1, group.step + 3), group.step)
-    assert may_take_up([group.view(rank) for rank in range(SIZE)])
+    assert can_resume([group.view(rank) for rank in range(SIZE)])
 
 
 def test_lost_orders_to_prepare_move_the_pass_further_ahead():
@@ -83,13 +83,13 @@
     steps = []
     for verdict in (Verdict.ACCEPTED, Verdict.LOST):
         change = MapChange(1, epoch=1, size=1)
-        [prepare] = change.begin(50.0, now=0)
-        change.stepped(10, now=0)
-        change.answered(0, prepare.order, verdict, now=5)
+        [prepare] = change.start(50.0, now=0)
+        change.record_pass_start(10, now=0)
+        change.on_verdict(0, prepare.order, verdict, now=5)
         prepared = replace(ModelGroup(1).view(0), prepared=1)
-        [hold] = change.reported(prepared, now=10)
+        [hold] = change.on_report(prepared, now=10)
         steps.append(hold.order.step)
-    assert steps[1] >= steps[0] + change.policy.lossy_lead // 50
+    assert steps[1] >= steps[0] + change.policy.lossy_lead_time // 50
 
 
 def test_a_calm_change_is_in_force_without_a_wait():
@@ -101,18 +101,18 @@
         world.tick(50)
         world.group.begin_pass()
         waited += world.group.step == before
-    assert world.ends == [ChangeEnd.IN_FORCE]
+    assert world.ends == [ChangeEnd.IN_EFFECT]
     assert waited == 0
 
 
 def test_a_hold_that_comes_too_late_is_tried_further_ahead():
     change = MapChange(1, epoch=1, size=1)
-    change.begin(50.0, now=0)
-    change.stepped(10, now=0)
+    change.start(50.0, now=0)
+    change.record_pass_start(10, now=0)
     view = ModelGroup(1).view(0)
     prepared = replace(view, prepared=1)
-    [first] = change.reported(prepared, now=10)
-    [second] = change.answered(0, first.order, Verdict.REFUSED, now=20)
+    [first] = change.on_report(prepared, now=10)
+    [second] = change.on_verdict(0, first.order, Verdict.REFUSED, now=20)
     assert isinstance(second.order, Hold)
     assert second.order.step > first.order.step
 
@@ -130,15 +130,15 @@
         if all(rank.prepared for rank in world.group.ranks):
             world.group.ranks[1].prepared = None
             for rank in (0, 2):
-                world.act(world.change.reported(world.group.view(rank), world.now))
+                world.act(world.change.on_report(world.group.view(rank), world.now))
             lost = replace(world.group.view(1), prepared=1)
-            world.act(world.change.reported(lost, world.now))
+            world.act(world.change.on_report(lost, world.now))
             break
         world.tick(50)
     for _ in range(20):
         world.tick(60)
         world.group.begin_pass()
-    assert world.ends == [ChangeEnd.TAKEN_BACK]
+    assert world.ends == [ChangeEnd.ROLLED_BACK]
     assert {rank.version for rank in world.group.ranks} == {0}
 
 
@@ -158,20 +158,20 @@
     not be told, so nothing may be released; another node may reach it.
     """
     change = MapChange(1, epoch=1, size=2)
-    change.begin(50.0, now=0)
-    change.stepped(10, now=0)
+    change.start(50.0, now=0)
+    change.record_pass_start(10, now=0)
     group = ModelGroup(2)
     views = [replace(group.view(rank), prepared=1) for rank in range(2)]
-    assert change.reported(views[0], now=5) == []
-    [hold] = change.reported(views[1], now=5)
-    arms = change.answered(hold.rank, hold.order, Verdict.ACCEPTED, now=10)
+    assert change.on_report(views[0], now=5) == []
+    [hold] = change.on_report(views[1], now=5)
+    arms = change.on_verdict(hold.rank, hold.order, Verdict.ACCEPTED, now=10)
     assert [type(action) for action in arms] == [SendOrder, SendOrder]
-    change.answered(0, arms[0].order, Verdict.ACCEPTED, now=15)
+    change.on_verdict(0, arms[0].order, Verdict.ACCEPTED, now=15)
     now = 10
-    while now < 10 + change.policy.patience:
+    while now < 10 + change.policy.hold_timeout:
         actions = change.tick(now)
-        assert not any(isinstance(action, Ended) for action in actions)
+        assert not any(isinstance(action, ChangeFinished) for action in actions)
         for action in actions:
-            change.answered(action.rank, action.order, Verdict.LOST, now)
+            change.on_verdict(action.rank, action.order, Verdict.LOST, now)
         now += 100
-    assert change.tick(now) == [Ended(ChangeEnd.STUCK)]
+    assert change.tick(now) == [ChangeFinished(ChangeEnd.STUCK)]
--- a/tests/core/groups/test_orders_from_afar.py
+++ b/tests/core/groups/test_orders_from_afar.py
@@ -178,8 +178,8 @@
     """A mutant: arms at once, hoping that all are armed in time."""
 
     def _hold(self, now):
-        self.step = self._passes.newest + 2
-        self.holders = []
+        self.step = self._passes.newest_started + 2
+        self.holding_ranks = []
         self._enter(map_change._Phase.ARMING, now)
         return self._to_all(Arm(self.version, self.step), now)
 
@@ -201,7 +201,7 @@
 class ReleasesOnRefusal(MapChange):
     """A mutant: does not disarm the others when one rank refuses."""
 
-    def _take_back(self, now):
+    def _roll_back(self, now):
         return self._release(now)
 
 
--- a/tests/core/groups/test_popularity_from_a_few_ranks.py
+++ b/tests/core/groups/test_popularity_from_a_few_ranks.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from azurefold.core.groups.samples import CountSample, SampledPopularity
+from azurefold.core.groups.sampled_popularity import CountSample, SampledPopularity
 
 
 @pytest.fixture
@@ -15,27 +15,27 @@
 
 
 def test_the_first_counts_are_a_base_only(popularity):
-    assert not popularity.take([sample(0, [5, 9])], now=0)
+    assert not popularity.add_counts([sample(0, [5, 9])], now=0)
     assert popularity.layers == ()
 
 
 def test_growth_is_summed_over_ranks(popularity):
-    popularity.take([sample(0, [10, 0]), sample(1, [0, 10])], now=0)
-    assert popularity.take([sample(0, [30, 0]), sample(1, [0, 20])], now=1_000)
+    popularity.add_counts([sample(0, [10, 0]), sample(1, [0, 10])], now=0)
+    assert popularity.add_counts([sample(0, [30, 0]), sample(1, [0, 20])], now=1_000)
     assert popularity.rates == ((20.0, 10.0),)
 
 
 def test_counts_of_another_epoch_are_a_new_base(popularity):
     """Popularity turns negative or jumps after a group has formed anew."""
-    popularity.take([sample(0, [100, 100])], now=0)
-    assert not popularity.take([sample(0, [3, 1], epoch=2)], now=1_000)
-    assert popularity.take([sample(0, [5, 1], epoch=2)], now=2_000)
+    popularity.add_counts([sample(0, [100, 100])], now=0)
+    assert not popularity.add_counts([sample(0, [3, 1], epoch=2)], now=1_000)
+    assert popularity.add_counts([sample(0, [5, 1], epoch=2)], now=2_000)
     assert popularity.rates == ((2.0, 0.0),)
 
 
 def test_a_group_that_rests_changes_nothing(popularity):
-    popularity.take([sample(0, [1, 2])], now=0)
-    assert not popularity.take([sample(0, [1, 2])], now=1_000)
+    popularity.add_counts([sample(0, [1, 2])], now=0)
+    assert not popularity.add_counts([sample(0, [1, 2])], now=1_000)
 
 
 def counts_of(popularity, seconds):
@@ -47,7 +47,7 @@
     total = total if total is not None else [0] * len(shares)
     for index, count in enumerate(counts_of(shares, seconds)):
         total[index] += count
-    return popularity.take([sample(0, list(total))], now), total
+    return popularity.add_counts([sample(0, list(total))], now), total
 
 
 BEFORE, AFTER = (0.7, 0.2, 0.1, 0.0), (0.1, 0.2, 0.1, 0.6)
@@ -84,4 +84,4 @@
 def test_what_another_coordinator_saw_is_there_at_once(popularity):
     popularity.restore([[700, 200, 100, 0]])
     assert popularity.rates == ((700.0, 200.0, 100.0, 0.0),)
-    assert popularity.samples == 0
+    assert popularity.usable_rounds == 0
--- a/tests/core/groups/test_popularity_from_reports.py
+++ b/tests/core/groups/test_popularity_from_reports.py
@@ -16,7 +16,7 @@
 def first():
     """Popularity after one report of each of two ranks."""
     reports = (report([100, 0, 0]), report([0, 50, 0]))
-    return new_group_popularity(30_000).reported(reports, 0)
+    return new_group_popularity(30_000).with_reports(reports, 0)
 
 
 def test_one_report_tells_nothing_of_rates(first):
@@ -25,29 +25,29 @@
 
 def test_tokens_of_all_ranks_since_the_last_reports_count(first):
     reports = (report([110, 0, 0]), report([5, 50, 20]))
-    (view,) = first.reported(reports, 1_000).views()
+    (view,) = first.with_reports(reports, 1_000).layer_views()
     assert view.rates == (15.0, 0.0, 20.0)
 
 
 def test_a_restarted_engine_counts_from_zero(first):
     reports = (report([7, 0, 0]), report([0, 50, 0]))
-    (view,) = first.reported(reports, 1_000).views()
+    (view,) = first.with_reports(reports, 1_000).layer_views()
     assert view.rates == (7.0, 0.0, 0.0)
 
 
 def test_nothing_is_decided_while_ranks_use_two_maps(first):
     reports = (report([110, 0, 0], map_id="m1"), report([0, 50, 0]))
-    assert not first.reported(reports, 1_000).is_known
+    assert not first.with_reports(reports, 1_000).is_known
 
 
 def test_another_number_of_experts_begins_anew(first):
     other = RankReport("m0", LAYERS, ((1, 1),), 0.0, 0)
-    assert not first.reported((other, other), 1_000).is_known
+    assert not first.with_reports((other, other), 1_000).is_known
 
 
 def test_a_layer_without_tokens_is_left_out(first):
-    still = first.reported(first.reports, 1_000)
-    assert still.views() == ()
+    still = first.with_reports(first.reports, 1_000)
+    assert still.layer_views() == ()
 
 
 def test_a_rank_that_takes_longer_for_its_work_is_reported():
@@ -57,5 +57,5 @@
         reports = tuple(
             report([10 * second, 0, 0], work, busy * slow) for slow in (1, 1, 1, 2)
         )
-        state = state.reported(reports, 1_000 * second)
+        state = state.with_reports(reports, 1_000 * second)
     assert [each.rank for each in state.stragglers(6_000)] == [3]
--- a/tests/core/groups/test_ranks_end_a_change.py
+++ b/tests/core/groups/test_ranks_end_a_change.py
@@ -20,7 +20,9 @@
     def _recover(self, now):
         actions = super()._recover(now)
         if self._closed is not None:
-            self._closed = replace(self._closed, may_open=True, ask_at=now + 1_000)
+            self._closed = replace(
+                self._closed, may_open=True, ask_peers_at=now + 1_000
+            )
         return actions
 
 
@@ -198,5 +200,5 @@
     for message in (Stage(1, "m0"), Close(number, None, "m0"), late.message):
         world.network = [replace(late, message=message)]
         world.deliver_all()
-    assert world.agents[0].closed is not None
+    assert world.agents[0].closed_change is not None
     assert world.group.state(0).plan == ()
--- a/tests/core/groups/world.py
+++ b/tests/core/groups/world.py
@@ -6,13 +6,13 @@
 from azurefold.core.groups.actions import (
     Action,
     GroupTiming,
-    Order,
     SendToCoordinator,
+    SendToEngine,
     SendToRank,
 )
 from azurefold.core.groups.agent import RankAgent
 from azurefold.core.groups.coordinator import Coordinator
-from azurefold.core.groups.lead import LeadPolicy
+from azurefold.core.groups.lead_time import LeadTimePolicy
 from azurefold.core.groups.phases import ChangeInProgressError, Idle
 from azurefold_standins.lockstep import LockstepGroup, lockstep_group
 from azurefold_standins.lockstep_orders import give_order
@@ -45,7 +45,7 @@
     def take_over(self) -> None:
         self.fence += 1
         coordinator = self.kinds.coordinator(
-            self.fence, self.group.size, "m0", TIMING, LeadPolicy()
+            self.fence, self.group.size, "m0", TIMING, LeadTimePolicy()
         )
         self.coordinators[self.fence] = coordinator
         self.network += coordinator.start(self.now)
@@ -65,7 +65,7 @@
         if coordinator is None or self.fence in self.paused:
             return
         try:
-            self.network += coordinator.change(map_id, self.now)
+            self.network += coordinator.start_change(map_id, self.now)
         except ChangeInProgressError:
             return
 
@@ -157,14 +157,14 @@
         self, rank: int, actions: list[Action], *, crash: bool = False
     ) -> None:
         for action in actions:
-            if not isinstance(action, Order):
+            if not isinstance(action, SendToEngine):
                 self.network.append(action)
                 continue
             reply = give_order(self.group, rank, action.order)
             if crash:
                 self.restart_agent(rank)
                 return
-            self._perform(rank, self.agents[rank].answered(reply, self.now))
+            self._perform(rank, self.agents[rank].receive_engine_reply(reply, self.now))
 
 
 def make_world(
--- a/tests/gateway/test_a_coordinator_takes_over_at_once.py
+++ b/tests/gateway/test_a_coordinator_takes_over_at_once.py
@@ -73,7 +73,7 @@
     store.script = [row_of("gateway-3", 44)]
     coordinator._take()
     assert store.written == []
-    assert not coordinator.leadership.holds
+    assert not coordinator.leadership.is_leader
 
 
 def test_without_the_store_nothing_is_taken(coordinator, store):
@@ -130,7 +130,7 @@
     held = []
 
     def sleep(seconds):
-        held.append(coordinator.leadership.holds)
+        held.append(coordinator.leadership.is_leader)
         if len(held) == 5:
             raise KeyboardInterrupt
 
--- a/tests/gateway/test_groups_of_a_service_are_kept_apart.py
+++ b/tests/gateway/test_groups_of_a_service_are_kept_apart.py
@@ -21,7 +21,7 @@
 
 
 def report_of(group, rank, born=0, **fields):
-    view = RankView(rank, **({"epoch": 1, "is_open": True, "step": 35} | fields))
+    view = RankView(rank, **({"epoch": 1, "is_running": True, "step": 35} | fields))
     return RankReport(group, SIZE, view, born)
 
 
@@ -120,7 +120,7 @@
 )
 def test_what_ranks_say_of_a_broken_group_is_told(watch, reporting, standing):
     for rank in range(reporting):
-        take(watch, f"g0-{rank}", report_of("g0", rank, is_open=False))
+        take(watch, f"g0-{rank}", report_of("g0", rank, is_running=False))
     [news] = ServiceControl(watch, row=None).news
     assert news.standing is standing
 
--- a/tests/gateway/test_terms_rise_over_returns.py
+++ b/tests/gateway/test_terms_rise_over_returns.py
@@ -39,7 +39,7 @@
 
     @property
     def holders(self):
-        return [each for each in self.members if each.leadership.holds]
+        return [each for each in self.members if each.leadership.is_leader]
 
     @property
     def names(self):
@@ -87,7 +87,7 @@
         beats = [
             (_name(each), each.leadership.term)
             for each in awake
-            if each.leadership.holds
+            if each.leadership.is_leader
         ]
         for name, term in beats:
             for each in awake:
