--- a/src/azurefold/core/groups/actions.py
+++ b/src/azurefold/core/groups/actions.py
@@ -1,4 +1,4 @@
-"""What the state machines of a group ask of the process round them."""
+"""Actions that a group's state machines request, and their timeouts."""
 
 from dataclasses import dataclass
 
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendToEngine:
-    """Give ``order`` to this rank's engine and report its reply."""
+    """Send ``order`` to this rank's engine and pass its reply to the agent."""
 
     order: EngineOrder
 
@@ -37,25 +37,25 @@
 
 @dataclass(frozen=True, slots=True)
 class GroupTiming:
-    """Waits of the protocol; safety rests on none of them.
+    """Timeouts and retry intervals; the protocol's safety depends on none of them.
 
     Parameters
     ----------
     first_retry_delay : int, default=15
-        Before the first repeat of an unanswered message, in milliseconds. Short,
-        because a lost close makes the whole group wait. Doubled each time.
+        Delay before the first retry of an unanswered message, in milliseconds. Short,
+        because a lost close makes the whole group wait. Doubled at each retry.
     max_retry_delay : int, default=500
-        Between two repeats at most, so that neither a dead rank nor one that
-        loads weights for minutes costs the coordinator its processor time.
+        Maximum delay between two retries. Limits the CPU time that the coordinator
+        spends on a dead rank or on one that loads weights for minutes.
     peer_query_interval : int, default=200
-        Between two questions of a closed rank to its peers.
+        Time between two queries of a closed rank to its peers.
     close_timeout : int, default=400
-        After which a change that is not agreed by all is given up.
+        Time after which a change is aborted if not all ranks have agreed.
     coordinator_timeout : int, default=1000
-        After which a closed rank asks its peers for the outcome. Longer than
-        ``close_timeout``, so that ranks do not end what is under way.
+        Time after which a closed rank asks its peers for the outcome. Longer than
+        ``close_timeout``, so that ranks do not end a change that is in progress.
     health_check_interval : int, default=1000
-        Between two checks of an idle group.
+        Time between two checks of an idle group.
     """
 
     first_retry_delay: Millis = 15
--- a/src/azurefold/core/groups/agent.py
+++ b/src/azurefold/core/groups/agent.py
@@ -1,15 +1,15 @@
-"""The rank's side of a map change, held in the agent beside its engine.
-
-The agent never moves a step forward or back by itself: it places holds and plan
-entries in the engine, which goes on by its plan when the agent dies. Each change
-ends at a rank with exactly one plan entry that bears its number, either the new
-map (opened) or the old one again (reopened).
-
-Why a change cannot end in two ways: opening needs a rank that agreed and has not
-promised; reopening by the ranks themselves needs the promise of *every* rank
-that it has not opened and never will on the coordinator's word. A promise must
-outlive the agent, so it is given only where the engine holds a trace of the
-change; a restarted agent that finds such a trace counts itself as promised.
+"""Participant in a map change: the agent of one rank, which controls its engine.
+
+The agent only places holds and plan entries in the engine. If the agent dies, the
+engine continues with its plan. Each change ends at a rank with exactly one plan entry
+that has the number of the change, either for the new map (opened) or for the old one
+again (reopened).
+
+A change cannot end in two ways. A rank opens it only if it has agreed and has not
+promised. The ranks reopen it by themselves only if *every* rank has promised that it
+has not opened the change and will refuse the coordinator's *open*. A promise must
+survive a restart of the agent, so it is made only if the engine stores the number of
+the change. A restarted agent that finds such a number acts as if it had promised.
 """
 
 from azurefold.core.clock import Millis
@@ -37,21 +37,21 @@
 class RankAgent(PeerTermination):
     """State machine of one rank's agent.
 
-    One engine order is out at a time; what arrives meanwhile is dropped, because
-    every sender repeats itself. A process whose engine does not answer makes a
-    new agent, which reads the engine before it does anything else.
+    At most one engine order is in flight. Messages that arrive meanwhile are dropped,
+    because every sender retries. If the engine does not answer, the process creates a
+    new agent, which reads the engine's state before anything else.
 
     Parameters
     ----------
     rank, size : int
-        This rank and the number of ranks in the group.
+        Number of this rank, and number of ranks in the group.
     timing : GroupTiming
-        Waits of the protocol.
+        Timeouts and retry intervals of the protocol.
     """
 
     def start(self) -> list[Action]:
-        """Read the engine; until it has answered, every message is dropped."""
-        return self._order(ReadState(), None)
+        """Read the engine's state; messages are dropped until it has answered."""
+        return self._order_engine(ReadState(), None)
 
     def receive(self, message: Message, now: Millis) -> list[Action]:
         """Handle a message from a coordinator or a peer."""
@@ -73,18 +73,18 @@
         if self._is_stale(fence):
             return [SendToCoordinator(fence, msg.Superseded(self._rank, self._fence))]
         self._fence = max(self._fence, fence)
-        return self._on_coordinator(message)
+        return self._on_coordinator_message(message)
 
     def receive_engine_reply(self, reply: EngineReply, now: Millis) -> list[Action]:
-        """Handle the engine's reply to the order that is out."""
+        """Handle the engine's reply to the order in flight."""
         if self._pending is None:
             return []
         order, cause = self._pending
         self._pending = None
-        first = self._engine is None
+        is_first_reply = self._engine is None
         self._engine = reply.state
-        if first:
-            return self._recover(now)
+        if is_first_reply:
+            return self._restore_from_engine(now)
         match cause:
             case msg.Query(fence, token):
                 status = msg.Status(token, self._rank, reply.state)
@@ -94,31 +94,30 @@
             case msg.Close():
                 return self._after_close(cause, order, reply, now)
             case msg.Ask():
-                return self._after_join(cause, reply, now)
+                return self._after_ask_hold(cause, reply, now)
             case msg.Open() | msg.Reopen() | msg.Promised() | msg.Decided():
-                return self._after_use(cause, reply)
+                return self._after_use_from(cause, reply)
         return []
 
-    def _recover(self, now: Millis) -> list[Action]:
-        """Take up what the engine still holds from this agent's predecessor."""
+    def _restore_from_engine(self, now: Millis) -> list[Action]:
+        """Restore the fence and the closed change from the engine's state."""
         engine = self._engine
         self._fence = max(self._fence, fence_of(engine.highest_number))
         if engine.hold is None:
             return []
-        # What would go wrong: the predecessor may have promised to refuse this
-        # change, and its peers may have gone back to the old map on the strength
-        # of it. A late *open*, obeyed now, would put this rank alone on the new
-        # one. So the restarted agent never opens on the coordinator's word, only
-        # on a peer's that has seen the end of the change.
-        self._closed = ClosedChange(engine.hold_number, engine.hold, False, now)
+        # The previous agent process may have promised to refuse this change, and the
+        # peers may have reopened the old map because of that. If a late *open* were
+        # accepted now, this rank alone would use the new map. So the restarted agent
+        # opens only after a peer has reported the decision, never for the coordinator.
+        self._closed_change = ClosedChange(engine.hold_number, engine.hold, False, now)
         return []
 
-    def _on_coordinator(self, message: Message) -> list[Action]:
+    def _on_coordinator_message(self, message: Message) -> list[Action]:
         match message:
             case msg.Query():
-                return self._order(ReadState(), message)
+                return self._order_engine(ReadState(), message)
             case msg.Stage(map_id=map_id):
-                return self._order(StageMap(map_id), message)
+                return self._order_engine(StageMap(map_id), message)
             case msg.Close():
                 return self._on_close(message)
             case msg.Open():
@@ -128,68 +127,74 @@
         return []
 
     def _on_close(self, close: msg.Close) -> list[Action]:
-        closed = self._closed
+        closed = self._closed_change
         if closed is not None and closed.number == close.number and closed.may_open:
-            return [self._agreed(close)]
-        overtaken = self._is_overtaken(close.number)
-        reason = close_refusal_reason(close, overtaken, closed, self._engine)
+            return [self._close_agreed(close)]
+        is_superseded = self._is_superseded(close.number)
+        reason = close_refusal_reason(close, is_superseded, closed, self._engine)
         if reason:
-            return [self._refused(close, reason)]
+            return [self._close_refused(close, reason)]
         step = self._engine.next_step if close.step is None else close.step
-        return self._order(HoldBefore(step, close.number), close)
+        return self._order_engine(HoldBefore(step, close.number), close)
 
     def _after_close(
         self, close: msg.Close, order: EngineOrder, reply: EngineReply, now: Millis
     ) -> list[Action]:
         if reply.accepted:
             ask_peers_at = now + self._timing.coordinator_timeout
-            self._closed = ClosedChange(close.number, order.step, True, ask_peers_at)
-            return [self._agreed(close)]
-        reached = reply.state.next_step
-        if close.step is None and reached > order.step:
-            return self._order(HoldBefore(reached, close.number), close)
-        return [self._refused(close, "the step has begun")]
+            self._closed_change = ClosedChange(
+                close.number, order.step, True, ask_peers_at
+            )
+            return [self._close_agreed(close)]
+        next_step = reply.state.next_step
+        if close.step is None and next_step > order.step:
+            return self._order_engine(HoldBefore(next_step, close.number), close)
+        return [self._close_refused(close, "the step has begun")]
 
     def _on_open(self, order: msg.Open) -> list[Action]:
         entry = self._engine.entry_of(order.number)
         if entry is not None:
-            return [SendToCoordinator(fence_of(order.number), self._decided(entry))]
+            return [
+                SendToCoordinator(fence_of(order.number), self._decided_message(entry))
+            ]
         if not self._may_open(order):
             refusal = msg.OpenRefused(order.number, self._rank)
             return [SendToCoordinator(fence_of(order.number), refusal)]
-        return self._order(UseFrom(order.step, order.map_id, order.number), order)
+        return self._order_engine(
+            UseFrom(order.step, order.map_id, order.number), order
+        )
 
     def _may_open(self, order: msg.Open) -> bool:
-        closed = self._closed
+        closed = self._closed_change
         return closed is not None and closed.accepts_open(
             order, self._engine.incarnation
         )
 
     def _on_reopen(self, message: msg.Reopen) -> list[Action]:
-        closed = self._closed
+        closed = self._closed_change
         if closed is None or closed.number != message.number:
             ended = msg.Ended(message.number, self._rank)
             return [SendToCoordinator(fence_of(message.number), ended)]
         return self._reopen(closed, message)
 
-    def _after_use(self, cause: Message, reply: EngineReply) -> list[Action]:
+    def _after_use_from(self, cause: Message, reply: EngineReply) -> list[Action]:
         if not reply.accepted:
             return []
-        self._closed = None
+        self._closed_change = None
         fence = fence_of(cause.number)
         match cause:
             case msg.Open(number=number):
                 entry = reply.state.entry_of(number)
-                return [SendToCoordinator(fence, self._decided(entry))]
+                return [SendToCoordinator(fence, self._decided_message(entry))]
             case msg.Reopen(number):
                 return [SendToCoordinator(fence, msg.Ended(number, self._rank))]
         return []
 
-    def _agreed(self, close: msg.Close) -> SendToCoordinator:
-        step, incarnation = self._closed.step, self._engine.incarnation
+    def _close_agreed(self, close: msg.Close) -> SendToCoordinator:
+        step, incarnation = self._closed_change.step, self._engine.incarnation
         agreed = msg.CloseAgreed(close.number, self._rank, step, incarnation)
         return SendToCoordinator(fence_of(close.number), agreed)
 
-    def _refused(self, close: msg.Close, reason: str) -> SendToCoordinator:
+    def _close_refused(self, close: msg.Close, reason: str) -> SendToCoordinator:
         refusal = msg.CloseRefused(close.number, self._rank, reason)
         return SendToCoordinator(fence_of(close.number), refusal)
--- a/src/azurefold/core/groups/agent_state.py
+++ b/src/azurefold/core/groups/agent_state.py
@@ -1,4 +1,4 @@
-"""What a rank's agent knows, and how it gives its engine an order."""
+"""State of a rank's agent, and its requests to the engine."""
 
 from azurefold.core.groups import messages as msg
 from azurefold.core.groups.actions import Action, GroupTiming, SendToEngine
@@ -10,7 +10,7 @@
 
 
 class AgentState:
-    """The state that both sides of an agent share."""
+    """State shared by the coordinator and the peer protocol of an agent."""
 
     def __init__(self, rank: int, size: int, timing: GroupTiming) -> None:
         self._rank = rank
@@ -18,18 +18,18 @@
         self._timing = timing
         self._fence = 0
         self._engine: EngineState | None = None
-        self._closed: ClosedChange | None = None
+        self._closed_change: ClosedChange | None = None
         self._pending: tuple[EngineOrder, Message | None] | None = None
 
     @property
     def fence(self) -> int:
-        """The highest fence of a coordinator that this agent has obeyed."""
+        """The highest fence of a coordinator that this agent has accepted."""
         return self._fence
 
     @property
     def closed_change(self) -> ClosedChange | None:
         """The undecided change that holds this rank, if any."""
-        return self._closed
+        return self._closed_change
 
     @property
     def engine(self) -> EngineState | None:
@@ -37,23 +37,25 @@
         return self._engine
 
     def _reopen(self, closed: ClosedChange, cause: Message) -> list[Action]:
-        """Put the old map in force again, as an entry with the change's number.
+        """Reactivate the old map with a plan entry that has the change's number.
 
-        A mere release would leave no trace, and a restarted agent could then
-        agree to a late copy of the close and obey a late *open*.
+        Only releasing the hold would leave no record. A restarted agent could then
+        agree to a late copy of the close and accept a late *open*.
         """
-        old = self._engine.tail.map_id
-        return self._order(UseFrom(closed.step, old, closed.number), cause)
+        old_map_id = self._engine.tail.map_id
+        return self._order_engine(
+            UseFrom(closed.step, old_map_id, closed.number), cause
+        )
 
     def _is_stale(self, fence: int) -> bool:
         return fence < self._fence
 
-    def _is_overtaken(self, number: int) -> bool:
+    def _is_superseded(self, number: int) -> bool:
         return number <= self._engine.highest_number
 
-    def _order(self, order: EngineOrder, cause: Message | None) -> list[Action]:
+    def _order_engine(self, order: EngineOrder, cause: Message | None) -> list[Action]:
         self._pending = (order, cause)
         return [SendToEngine(order)]
 
-    def _decided(self, entry: PlanEntry) -> msg.Decided:
+    def _decided_message(self, entry: PlanEntry) -> msg.Decided:
         return msg.Decided(entry.number, self._rank, entry.from_step, entry.map_id)
--- a/src/azurefold/core/groups/closed_change.py
+++ b/src/azurefold/core/groups/closed_change.py
@@ -1,4 +1,4 @@
-"""A change that is closed but not decided at a rank, and what it allows."""
+"""A change that is closed but undecided at a rank, and the orders it accepts."""
 
 from dataclasses import dataclass, field
 
@@ -16,14 +16,14 @@
     Parameters
     ----------
     number, step : int
-        The change and the step that the rank does not begin.
+        Number of the change, and the step that the rank does not start.
     may_open : bool
-        Whether the coordinator's *open* is still obeyed: the close was agreed in
-        this agent's life and nothing has been promised since.
+        Whether the coordinator's *open* is still accepted: this agent process agreed
+        to the close and has promised nothing since.
     ask_peers_at : int
-        When to ask the peers (again), in milliseconds.
+        Time of the next query to the peers, in milliseconds.
     promises : dict of int to PlanEntry
-        The tails of the peers that have promised, by rank.
+        Last plan entries of the peers that have promised, by rank.
     """
 
     number: int
@@ -35,9 +35,9 @@
     def accepts_open(self, order: Open, incarnation: int) -> bool:
         """Return whether the coordinator's ``order`` may be carried out.
 
-        What would go wrong without the incarnation: the coordinator counts the
-        agreement of a rank that has been replaced since, and a late copy of the
-        close makes the replacement look as if it had agreed.
+        The incarnation must match. Otherwise the coordinator could count the agreement
+        of a rank that has been replaced since, while a late copy of the close makes
+        the replacement look as if it had agreed.
         """
         return (
             self.may_open
@@ -47,22 +47,23 @@
         )
 
     def can_reopen(self, tail: PlanEntry) -> bool:
-        """Return whether the plans of all ranks give one map from the step on.
+        """Return whether the plans of all ranks use one map from the step on.
 
-        After a recovery was cut short the plans may still differ. Reopening
-        would then put two maps in force, so the ranks wait for a coordinator.
+        After an interrupted recovery the plans may still differ. Reopening would then
+        activate two maps, so the ranks wait for a coordinator instead.
         """
         tails = [tail, *self.promises.values()]
         return all(
-            each.map_id == tail.map_id and each.from_step <= self.step for each in tails
+            entry.map_id == tail.map_id and entry.from_step <= self.step
+            for entry in tails
         )
 
 
 def close_refusal_reason(
-    close: Close, overtaken: bool, closed: ClosedChange | None, engine: EngineState
+    close: Close, is_superseded: bool, closed: ClosedChange | None, engine: EngineState
 ) -> str:
-    """Return why ``close`` cannot be agreed to, empty if it can."""
-    if overtaken:
+    """Return the reason to refuse ``close``, an empty string if there is none."""
+    if is_superseded:
         return "an equal or later change has been seen"
     if close.map_id not in engine.staged:
         return "its map is not staged"
@@ -71,8 +72,8 @@
     if engine.tail is None:
         return "the rank was replaced"
     if closed is not None:
-        # A second hold would take the place of the first, and the rank would run
-        # past a step that its peers may already have opened.
+        # A second hold would replace the first one, and the rank would run past a step
+        # for which its peers may already have opened the change.
         return "another change is undecided"
     if close.step <= engine.tail.from_step:
         return "the step lies before the last planned change"
--- a/src/azurefold/core/groups/coordinator.py
+++ b/src/azurefold/core/groups/coordinator.py
@@ -1,13 +1,13 @@
-"""The coordinator's side of a map change.
+"""Coordinator of map changes.
 
-It holds a lease of the platform's table whose number is its fence, and keeps
-nothing that must outlive it: its successor asks the ranks. A healthy group is
-changed without a pause (stage, check, close some steps ahead, open). A group in
-which a change is undecided, plans differ or a rank was replaced is recovered:
-every rank stops as soon as possible and, when all have, gets one map from there.
+The coordinator holds a lease in the platform's table; the lease number is its fence.
+It keeps no durable state, because its successor queries the ranks. In a healthy group
+it changes the map without a pause: stage, check, close some steps ahead, open. A group
+is recovered if a change is undecided, plans differ or a rank was replaced: every rank
+stops as soon as possible and, when all have stopped, they get one map from there on.
 
-A recovery is never reopened by the coordinator, because its ranks may differ in
-what they would reopen; it is repeated under a higher number instead.
+The coordinator never reopens a recovery, because the ranks may differ in the map that
+they would reopen. It retries the recovery under a higher number instead.
 """
 
 from azurefold.core.clock import Millis
@@ -49,20 +49,20 @@
 
 
 class Coordinator:
-    """State machine of the holder of a group's lease.
+    """State machine of the process that holds a group's lease.
 
     Parameters
     ----------
     fence : int
-        The number of the lease.
+        Number of the lease.
     size : int
-        Ranks in the group.
+        Number of ranks in the group.
     fallback_map : str
-        The map for a group all of whose ranks were replaced.
+        Map for a group in which all ranks were replaced.
     timing : GroupTiming
-        Waits of the protocol.
+        Timeouts and retry intervals of the protocol.
     lead_policy : LeadTimePolicy
-        How far ahead to close.
+        How many steps ahead a change is closed.
     """
 
     def __init__(
@@ -81,10 +81,10 @@
         self._serial = 0
         self._phase: Phase = Idle(0)
         self._replies: dict[int, Message] = {}
-        self._entered_at: Millis = 0
+        self._phase_entered_at: Millis = 0
         self._retry_at: Millis = 0
-        self._retry_after: Millis = timing.first_retry_delay
-        self._target: str | None = None
+        self._retry_delay: Millis = timing.first_retry_delay
+        self._target_map: str | None = None
         self._outcome: Outcome | None = None
         self._finished_count = 0
         self._active_map: str | None = None
@@ -92,48 +92,50 @@
 
     @property
     def fence(self) -> int:
-        """The number of the lease."""
+        """Number of the lease."""
         return self._fence
 
     @property
     def phase(self) -> Phase:
-        """What the coordinator is waiting for."""
+        """The current phase."""
         return self._phase
 
     @property
     def outcome(self) -> Outcome | None:
-        """How the last change or recovery ended; None before the first."""
+        """Outcome of the last change or recovery; None before the first."""
         return self._outcome
 
     @property
     def finished_count(self) -> int:
-        """How many changes and recoveries have ended."""
+        """Number of changes and recoveries that have ended."""
         return self._finished_count
 
     @property
     def active_map(self) -> str | None:
-        """The map that all ranks were last known to plan for; None if unknown."""
+        """The map that all ranks had last in their plans; None if unknown."""
         return self._active_map
 
     def start(self, now: Millis) -> list[Action]:
-        """Ask every rank, which thereby refuses coordinators before this one."""
-        return self._check(now)
+        """Query every rank; ranks then reject coordinators with a lower fence."""
+        return self._start_check(now)
 
     def start_change(self, map_id: str, now: Millis) -> list[Action]:
-        """Begin to put ``map_id`` in force.
+        """Start a change to ``map_id``.
 
         Raises
         ------
         ChangeInProgressError
-            If another change or a recovery is under way; ask again later.
+            If another change or a recovery is in progress; retry later.
         """
-        if self._target is not None or not isinstance(self._phase, Idle | Checking):
-            raise ChangeInProgressError(f"wait for {self._phase} to end")
-        self._target = map_id
-        return self._enter(Staging(map_id, recovery=False), now)
+        if self._target_map is not None or not isinstance(self._phase, Idle | Checking):
+            raise ChangeInProgressError(
+                f"a change is in progress, retry after it has ended: {self._phase}"
+            )
+        self._target_map = map_id
+        return self._enter_phase(Staging(map_id, recovery=False), now)
 
     def receive(self, message: Message, now: Millis) -> list[Action]:
-        """Handle a rank's reply; one that fits no present phase is dropped."""
+        """Handle a rank's reply; a reply that does not fit the phase is dropped."""
         match self._phase, message:
             case Deposed(), _:
                 return []
@@ -141,45 +143,45 @@
                 self._phase = Deposed(fence)
                 return []
             case Checking(token), Status() if message.token == token:
-                return self._collect(message, now)
+                return self._add_reply(message, now)
             case Staging(map_id), Staged() if message.map_id == map_id:
-                return self._collect(message, now)
+                return self._add_reply(message, now)
             case (
                 (Closing(number), CloseAgreed() | CloseRefused())
                 | (Opening(number), Decided() | OpenRefused())
                 | (Reopening(number), Ended())
             ) if message.number == number:
-                return self._collect(message, now)
+                return self._add_reply(message, now)
         return []
 
     def tick(self, now: Millis) -> list[Action]:
-        """Repeat what is unanswered and give up what has taken too long."""
+        """Retry unanswered messages and end a phase that has timed out."""
         match self._phase:
             case Deposed():
                 return []
             case Idle(check_at):
-                return self._check(now) if now >= check_at else []
+                return self._start_check(now) if now >= check_at else []
             case Closing(deadline=deadline) if now >= deadline:
-                return self._give_up(now)
+                return self._abort_change(now)
             case Opening(deadline=deadline) if now >= deadline:
-                return self._check(now)
-        return self._send(now) if now >= self._retry_at else []
+                return self._start_check(now)
+        return self._send_to_missing(now) if now >= self._retry_at else []
 
-    def _check(self, now: Millis) -> list[Action]:
+    def _start_check(self, now: Millis) -> list[Action]:
         self._serial += 1
-        return self._enter(Checking(self._serial), now)
+        return self._enter_phase(Checking(self._serial), now)
 
-    def _enter(self, phase: Phase, now: Millis) -> list[Action]:
+    def _enter_phase(self, phase: Phase, now: Millis) -> list[Action]:
         self._phase = phase
-        self._entered_at = now
-        self._retry_after = self._timing.first_retry_delay
+        self._phase_entered_at = now
+        self._retry_delay = self._timing.first_retry_delay
         self._replies = {}
-        return self._send(now)
+        return self._send_to_missing(now)
 
-    def _send(self, now: Millis) -> list[Action]:
-        """Send the phase's message to every rank that has not replied."""
-        self._retry_at = now + self._retry_after
-        self._retry_after = min(2 * self._retry_after, self._timing.max_retry_delay)
+    def _send_to_missing(self, now: Millis) -> list[Action]:
+        """Send the message of the phase to every rank that has not replied."""
+        self._retry_at = now + self._retry_delay
+        self._retry_delay = min(2 * self._retry_delay, self._timing.max_retry_delay)
         missing = [rank for rank in range(self._size) if rank not in self._replies]
         return [SendToRank(rank, self._message_to(rank)) for rank in missing]
 
@@ -195,17 +197,17 @@
                 return Open(number, step, map_id, incarnations[rank])
             case Reopening(number):
                 return Reopen(number)
-        raise AssertionError(f"nothing to send in {self._phase}")
+        raise AssertionError(f"phase {self._phase} has no message to send")
 
-    def _collect(self, reply: Message, now: Millis) -> list[Action]:
+    def _add_reply(self, reply: Message, now: Millis) -> list[Action]:
         if isinstance(reply, CloseRefused):
-            return self._give_up(now)
+            return self._abort_change(now)
         if isinstance(reply, OpenRefused):
-            return self._check(now)
+            return self._start_check(now)
         self._replies[reply.rank] = reply
-        return self._finish_phase(now) if self._is_complete() else []
+        return self._finish_phase(now) if self._has_all_replies() else []
 
-    def _is_complete(self) -> bool:
+    def _has_all_replies(self) -> bool:
         return len(self._replies) == self._size
 
     def _finish_phase(self, now: Millis) -> list[Action]:
@@ -213,81 +215,89 @@
             case Checking():
                 return self._after_check(now)
             case Staging(map_id, recovery):
-                return self._close(map_id, now) if recovery else self._check(now)
+                return (
+                    self._start_closing(map_id, now)
+                    if recovery
+                    else self._start_check(now)
+                )
             case Closing():
-                return self._open(self._phase, now)
+                return self._start_opening(self._phase, now)
             case Opening():
                 return self._after_open(self._phase, now)
             case Reopening():
-                return self._settle(Outcome.REOPENED, now)
+                return self._finish(Outcome.REOPENED, now)
         return []
 
     def _after_check(self, now: Millis) -> list[Action]:
         states = [self._replies[rank].engine for rank in range(self._size)]
-        reached = max(state.next_step for state in states)
-        self._step_time_estimate = self._step_time_estimate.with_report(reached, now)
+        next_step = max(state.next_step for state in states)
+        self._step_time_estimate = self._step_time_estimate.with_report(next_step, now)
         if not is_healthy(states):
             map_id = recovery_map(states, self._fallback_map)
-            return self._enter(Staging(map_id, recovery=True), now)
+            return self._enter_phase(Staging(map_id, recovery=True), now)
         self._active_map = states[0].tail.map_id
-        if self._target is None:
+        if self._target_map is None:
             self._phase = Idle(now + self._timing.health_check_interval)
             return []
-        if states[0].tail.map_id == self._target:
-            return self._settle(Outcome.OPENED, now)
-        return self._close(self._target, now, self._step_ahead(states, now))
+        if states[0].tail.map_id == self._target_map:
+            return self._finish(Outcome.OPENED, now)
+        return self._start_closing(
+            self._target_map, now, self._choose_step(states, now)
+        )
 
-    def _step_ahead(self, states: list[EngineState], now: Millis) -> int:
+    def _choose_step(self, states: list[EngineState], now: Millis) -> int:
         step_time = (
             self._step_time_estimate.step_time or self._lead_policy.default_step_time
         )
-        # Counted from the first message: a repeat may cross the reply to the one
-        # before it, and the round trip would look too short and the lead with it.
-        round_trip = now - self._entered_at
+        # Measured from the first message. A retry may cross the reply to the message
+        # before it, which would make the round trip and the lead look too short.
+        round_trip = now - self._phase_entered_at
         lead = lead_steps(self._lead_policy, round_trip, step_time)
         step = max(state.next_step for state in states) + lead
-        after_plan = max(state.tail.from_step for state in states) + 1
-        return max(step, after_plan)
+        first_unplanned_step = max(state.tail.from_step for state in states) + 1
+        return max(step, first_unplanned_step)
 
-    def _close(self, map_id: str, now: Millis, step: int | None = None) -> list[Action]:
+    def _start_closing(
+        self, map_id: str, now: Millis, step: int | None = None
+    ) -> list[Action]:
         self._serial += 1
         number = order_number(self._fence, self._serial)
         deadline = now + self._timing.close_timeout
-        return self._enter(Closing(number, step, map_id, deadline), now)
+        return self._enter_phase(Closing(number, step, map_id, deadline), now)
 
-    def _open(self, closing: Closing, now: Millis) -> list[Action]:
-        agreed = [self._replies[rank] for rank in sorted(self._replies)]
-        step = agreed[0].step
-        if any(each.step != step for each in agreed):
-            return self._check(now)
+    def _start_opening(self, closing: Closing, now: Millis) -> list[Action]:
+        agreements = [self._replies[rank] for rank in sorted(self._replies)]
+        step = agreements[0].step
+        if any(agreement.step != step for agreement in agreements):
+            return self._start_check(now)
         opening = Opening(
             closing.number,
             step,
             closing.map_id,
-            tuple(each.incarnation for each in agreed),
+            tuple(agreement.incarnation for agreement in agreements),
             closing.step is None,
             now + self._timing.close_timeout,
         )
-        return self._enter(opening, now)
+        return self._enter_phase(opening, now)
 
-    def _give_up(self, now: Millis) -> list[Action]:
-        """End a change that was not agreed by all, so never opened anywhere."""
+    def _abort_change(self, now: Millis) -> list[Action]:
+        """Abort a change that not all ranks agreed to, so none has opened it."""
         closing = self._phase
         if closing.step is None:
-            return self._check(now)
-        return self._enter(Reopening(closing.number), now)
+            return self._start_check(now)
+        return self._enter_phase(Reopening(closing.number), now)
 
     def _after_open(self, opening: Opening, now: Millis) -> list[Action]:
         maps = {reply.map_id for reply in self._replies.values()}
         if maps != {opening.map_id}:
-            return self._settle(Outcome.REOPENED, now)
+            return self._finish(Outcome.REOPENED, now)
         self._active_map = opening.map_id
-        done = Outcome.RECOVERED if opening.recovery else Outcome.OPENED
-        return self._settle(done, now)
+        outcome = Outcome.RECOVERED if opening.recovery else Outcome.OPENED
+        return self._finish(outcome, now)
 
-    def _settle(self, outcome: Outcome, now: Millis) -> list[Action]:
+    def _finish(self, outcome: Outcome, now: Millis) -> list[Action]:
         self._outcome = outcome
         self._finished_count += 1
-        self._target = None
+        self._target_map = None
         self._phase = Idle(now + self._timing.health_check_interval)
         return []
--- a/src/azurefold/core/groups/engine.py
+++ b/src/azurefold/core/groups/engine.py
@@ -1,8 +1,8 @@
-"""The rank's engine as its agent sees it: state, orders and actions.
+"""State and orders of a rank's engine, as seen by its agent.
 
-The engine keeps plan, hold and staged maps while its agent restarts, so it is
-the agent's only durable memory; the order numbers stored there say which changes
-a predecessor had agreed to or seen decided.
+The engine keeps the plan, the hold and the staged maps while its agent restarts, so it
+is the only durable state of the agent. The stored order numbers show which changes the
+previous agent process had agreed to or had seen decided.
 """
 
 from dataclasses import dataclass
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlanEntry:
-    """``map_id`` is used from ``from_step`` on, by the order ``number``."""
+    """Plan to use ``map_id`` from ``from_step`` on, created by order ``number``."""
 
     from_step: int
     map_id: str
@@ -31,20 +31,20 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineState:
-    """What the engine of one rank stores.
+    """Stored state of one rank's engine.
 
     Parameters
     ----------
     incarnation : int
         Differs between a rank and its replacement.
     next_step : int
-        The first step not begun.
+        The first step that has not started.
     plan : tuple of PlanEntry
-        Ascending by step; empty on a replaced rank.
+        Plan entries in ascending order of step; empty on a replaced rank.
     hold : int or None
-        The step not begun until the hold ends.
+        The step that does not start until the hold ends; None without a hold.
     hold_number : int
-        The order that placed the hold or, if there is none now, the last one.
+        Number of the order that placed the current or, if there is none, last hold.
     staged : tuple of str
         Maps whose weights are loaded.
     """
@@ -58,24 +58,24 @@
 
     @property
     def tail(self) -> PlanEntry | None:
-        """The last entry of the plan, None on a replaced rank."""
+        """The last entry of the plan; None on a replaced rank."""
         return self.plan[-1] if self.plan else None
 
     @property
     def highest_number(self) -> int:
-        """The highest order number that left a trace."""
-        held = self.hold_number if self.hold is not None else 0
-        return max([held, *(entry.number for entry in self.plan)])
+        """The highest order number in the plan and the hold."""
+        active_hold_number = self.hold_number if self.hold is not None else 0
+        return max([active_hold_number, *(entry.number for entry in self.plan)])
 
     def entry_of(self, number: int) -> PlanEntry | None:
-        """Return the entry that order ``number`` made, None if there is none."""
-        found = [entry for entry in self.plan if entry.number == number]
-        return found[0] if found else None
+        """Return the entry created by order ``number``, None if there is none."""
+        matching_entries = [entry for entry in self.plan if entry.number == number]
+        return matching_entries[0] if matching_entries else None
 
 
 @dataclass(frozen=True, slots=True)
 class ReadState:
-    """Report the state, change nothing."""
+    """Report the state without changing it."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -87,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HoldBefore:
-    """Do not begin ``step``; refused if it has begun."""
+    """Do not start ``step``; refused if it has started."""
 
     step: int
     number: int
@@ -95,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UseFrom:
-    """Use ``map_id`` from ``step`` on, drop later entries, end the hold."""
+    """Use ``map_id`` from ``step`` on, remove later entries and end the hold."""
 
     step: int
     map_id: str
@@ -107,7 +107,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineReply:
-    """Whether the order was obeyed, and the state after it."""
+    """Whether the order was accepted, and the state after it."""
 
     accepted: bool
     state: EngineState
@@ -126,9 +126,9 @@
     """
     schedule: list[tuple[int, str]] = []
     for entry in state.plan:
-        begins = max(step, entry.from_step)
-        if schedule and schedule[-1][0] == begins:
+        start = max(step, entry.from_step)
+        if schedule and schedule[-1][0] == start:
             schedule.pop()
         if not schedule or schedule[-1][1] != entry.map_id:
-            schedule.append((begins, entry.map_id))
+            schedule.append((start, entry.map_id))
     return tuple(schedule)
--- a/src/azurefold/core/groups/health.py
+++ b/src/azurefold/core/groups/health.py
@@ -1,4 +1,4 @@
-"""Whether a group is whole, and which map makes it so again."""
+"""Health check of a group, and the map for its recovery."""
 
 from azurefold.core.groups.engine import EngineState, schedule_from
 
@@ -6,7 +6,7 @@
 
 
 def is_healthy(states: list[EngineState]) -> bool:
-    """Return whether no rank is held or replaced and all plans agree."""
+    """Return whether no rank is held or was replaced and all plans agree."""
     if any(state.hold is not None or not state.plan for state in states):
         return False
     step = max(state.next_step for state in states)
@@ -14,7 +14,7 @@
 
 
 def recovery_map(states: list[EngineState], fallback_map: str) -> str:
-    """Return the map of the latest decided change, ``fallback_map`` without any."""
+    """Return the map of the latest decided change, else ``fallback_map``."""
     tails = [state.tail for state in states if state.tail is not None]
     if not tails:
         return fallback_map
--- a/src/azurefold/core/groups/lead_time.py
+++ b/src/azurefold/core/groups/lead_time.py
@@ -1,8 +1,8 @@
-"""How far ahead of the present step a change is closed.
+"""Lead time of a change, in steps between the current step and the closed one.
 
-The close must reach every rank before the step begins, and the open must follow
-before the ranks get there; otherwise the group waits. Too far ahead costs only a
-later change, so the lead errs on that side.
+The close must reach every rank before that step starts, and the open must arrive
+before the ranks reach it; otherwise the group waits. A lead that is too long only
+delays the change, so the estimate is rounded up generously.
 """
 
 from dataclasses import dataclass
@@ -15,20 +15,20 @@
 
 @dataclass(frozen=True, slots=True)
 class LeadTimePolicy:
-    """How the lead follows from what was measured.
+    """Parameters from which the lead is computed.
 
     Parameters
     ----------
     round_trips : float, default=2.0
-        Exchanges that must fit: the close with its replies and the open with
-        its way to the engines; the query before them is half over when the
-        step number that it brings is read.
+        Number of exchanges within the lead: the close with its replies, and the open
+        until it reaches the engines. In addition comes half a round trip of the query
+        before them, because the step number in its reply is that old.
     latency_margin : float, default=1.5
-        Factor on the slowest round trip measured, for the tail of the latency.
+        Factor on the slowest measured round trip, to cover the tail latency.
     default_step_time : float, default=5.0
-        Milliseconds a step, until two reports have been compared.
+        Milliseconds per step until two reports have been compared.
     max_steps : int, default=400
-        Steps; an upper bound if a measurement went astray.
+        Upper bound in steps, in case of a wrong measurement.
     """
 
     round_trips: float = 2.0
@@ -38,16 +38,16 @@
 
 
 def lead_steps(policy: LeadTimePolicy, round_trip: Millis, step_time: float) -> int:
-    """Return the number of steps between the last one reported and the change.
+    """Return the number of steps between the last reported step and the change.
 
     Parameters
     ----------
     policy : LeadTimePolicy
-        Margins.
+        Margins and upper bound.
     round_trip : int
-        The slowest rank's query and reply, in milliseconds.
+        Round trip of the query to the slowest rank, in milliseconds.
     step_time : float
-        Milliseconds a step.
+        Milliseconds per step.
 
     Examples
     --------
@@ -56,29 +56,31 @@
     >>> lead_steps(LeadTimePolicy(), round_trip=40, step_time=5.0)
     31
     """
-    until_open = policy.latency_margin * (policy.round_trips + 0.5) * max(1, round_trip)
-    return min(policy.max_steps, 1 + ceil(until_open / step_time))
+    time_until_open = (
+        policy.latency_margin * (policy.round_trips + 0.5) * max(1, round_trip)
+    )
+    return min(policy.max_steps, 1 + ceil(time_until_open / step_time))
 
 
 MIN_STEPS_BETWEEN_REPORTS = 8
-"""Steps between two reports for a pace to be read off them."""
+"""Minimum number of steps between two reports from which a step time is computed."""
 
 
 @dataclass(frozen=True, slots=True)
 class StepTimeEstimate:
-    """The group's pace from reports of its step.
+    """Step time of the group, estimated from reports of its next step.
 
-    What would go wrong with reports close together: two of them straddle the
-    begin of a step, the pace looks a hundred times too fast, and the change is
-    closed hundreds of steps ahead. Hence the least distance.
+    Reports must be a minimum number of steps apart. Two reports shortly before and
+    after the start of a step would make the steps look a hundred times too fast, and
+    the change would be closed hundreds of steps ahead.
 
     Parameters
     ----------
     step, at : int
-        The report measured from and when it came, in milliseconds; -1 before
-        the first.
+        Step of the report from which the estimate is measured, -1 before the first
+        report, and the time at which the report arrived, in milliseconds.
     step_time : float or None
-        Milliseconds a step, None until known.
+        Milliseconds per step; None until known.
 
     Examples
     --------
@@ -92,9 +94,9 @@
     step_time: float | None = None
 
     def with_report(self, step: int, now: Millis) -> "StepTimeEstimate":
-        """Return the estimate after a report that ``step`` is next.
+        """Return the estimate after a report with next step ``step``.
 
-        A group that stood still tells nothing about its pace.
+        If the group has not advanced, the previous step time is kept.
         """
         if self.step < 0 or step <= self.step:
             return StepTimeEstimate(step, now, self.step_time)
--- a/src/azurefold/core/groups/leadership.py
+++ b/src/azurefold/core/groups/leadership.py
@@ -1,16 +1,17 @@
-"""Who coordinates the groups' maps, by one row of the store and the beats of peers.
-
-The row names the holder; its version is the term. Whoever replaces the row takes
-over. In between the holder does not have to write: its beats to the other nodes
-show that it lives. A renewal each second from one node and looks at it from
-eight others would be most of what such a site asks of its store, and a holder
-that only the store cannot hear would stop for nothing.
-
-A holder that was paused, or is cut off, may go on for a moment beside its
-successor. Maps stay one in each pass all the same: versions hold the term above
-a serial number, ranks refuse to prepare a version below one they have had, and a
-rank that is armed prepares nothing. Of two changes at a time at most one finds
-all ranks armed, and only then is a hold released.
+"""Leader election among the nodes that coordinate the groups' maps.
+
+One row of the store names the leader, and the version of the row is the term. A node
+becomes the leader by replacing the row. After that the leader does not have to write
+to the store: its heartbeats to the other nodes show that it is alive. If the leader
+renewed the row each second and eight other nodes polled it, this would be most of the
+load on the store of such a site. Also, a leader that has lost only its connection to
+the store would step down needlessly.
+
+A leader that was paused or is partitioned may stay active for a moment beside its
+successor. Even then each pass uses one map. A map version holds the term above a
+serial number, ranks refuse to prepare a version lower than one they have had, and an
+armed rank refuses to prepare any map. Of two concurrent changes at most one has all
+ranks armed, and a hold is released only if all ranks are armed.
 """
 
 from dataclasses import dataclass, field
@@ -22,30 +23,30 @@
 
 @dataclass(frozen=True, slots=True)
 class LeadershipPolicy:
-    """Waits, in milliseconds.
+    """Timeouts and delays of the leader election, in milliseconds.
 
     Parameters
     ----------
     heartbeat_timeout : int
-        Without a beat of the holder, until another node takes over. Beats come
-        at least twice a second, so three in a row are lost.
+        Time without a heartbeat of the leader after which another node takes over.
+        Heartbeats are sent at least twice a second, so three in a row were lost.
     initial_heartbeat_timeout : int
-        The same for a node that has just started, or has just learned who
-        holds the row: a holder that is alive beats within half a second.
+        The same for a node that has just started or has just learned who the leader
+        is. A live leader sends a heartbeat within half a second.
     heartbeat_timeout_in_change, stagger_in_change : int
-        The same two while the holder changes a map. It may have the group held: a
-        holder that stood still for 4 s then kept all streams from going on for 3 s,
-        after which their callers had gone. Beats come every 150 ms at that time; a
-        holder that is succeeded for nothing does no harm.
+        ``heartbeat_timeout`` and ``stagger`` while the leader changes a map. The group
+        may be held at that time: a leader that was paused for 4 s blocked all streams
+        for 3 s, and their callers had disconnected by then. Heartbeats are sent every
+        150 ms during a change, and a needless takeover does no harm.
     stagger : int
-        Between two nodes of which the first is to try first.
+        Additional delay for each position in the takeover order.
     retry_delay : int
-        Until a node tries again after the store gave no answer.
+        Time until a node tries again after the store gave no answer.
     resign_backoff : int
-        For which a holder that gave up lets others try.
+        Time for which a leader that resigned does not try to take over.
     confirmation_ttl : int
-        For which a confirmation of the row is taken for fresh. Shorter than
-        ``heartbeat_timeout``, so nobody has taken over yet.
+        Time for which a confirmed write of the row counts as recent. Shorter than
+        ``heartbeat_timeout``, so no other node has taken over yet.
     """
 
     heartbeat_timeout: Millis = 1_700
@@ -60,14 +61,16 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaderHeartbeat:
-    """What a holder tells the other nodes.
+    """Heartbeat of a leader.
 
     Parameters
     ----------
     node : str
+        Name of the leader.
     term : int
+        Term of the leader.
     is_changing : bool
-        Whether a change of a map is under way.
+        Whether a map change is in progress.
     """
 
     node: str
@@ -77,16 +80,18 @@
 
 @dataclass(slots=True)
 class Leadership:
-    """One node's view of who holds the row.
+    """One node's view of the leader election.
 
     Parameters
     ----------
     node : str
+        Name of this node.
     policy : LeadershipPolicy
+        Timeouts and delays.
     position : int
-        This node's place among those that may take over.
+        This node's position in the takeover order.
     term : int
-        The highest known.
+        The highest known term.
     """
 
     node: str
@@ -95,104 +100,104 @@
     term: int = 0
     _is_leader: bool = False
     _confirmed_at: Millis = 0
-    _heard_at: Millis = 0
-    _heard_beat: bool = False
-    _heard_changing: bool = False
-    _not_before: Millis = 0
+    _waiting_since: Millis = 0
+    _has_heartbeat: bool = False
+    _is_leader_changing: bool = False
+    _retry_at: Millis = 0
 
     @property
     def is_leader(self) -> bool:
-        """Whether this node coordinates, as far as it knows."""
+        """Whether this node is the leader, as far as it knows."""
         return self._is_leader
 
     def start(self, now: Millis) -> None:
-        """Begin to wait for beats."""
-        self._heard_at = now
+        """Start to wait for heartbeats."""
+        self._waiting_since = now
 
-    def on_heartbeat(self, beat: LeaderHeartbeat, now: Millis) -> bool:
-        """Take in a beat; return whether it ended this node's own term."""
-        if beat.term < self.term or beat.node == self.node:
+    def on_heartbeat(self, heartbeat: LeaderHeartbeat, now: Millis) -> bool:
+        """Handle a heartbeat; return whether it ended this node's own term."""
+        if heartbeat.term < self.term or heartbeat.node == self.node:
             return False
-        self.term = beat.term
-        self._heard_at = now
-        self._heard_beat = True
-        self._heard_changing = beat.is_changing
-        lost = self._is_leader
+        self.term = heartbeat.term
+        self._waiting_since = now
+        self._has_heartbeat = True
+        self._is_leader_changing = heartbeat.is_changing
+        has_lost_term = self._is_leader
         self._is_leader = False
-        return lost
+        return has_lost_term
 
-    def on_resignation(self, beat: LeaderHeartbeat, now: Millis) -> None:
-        """Take in that the holder gives its term up."""
-        if beat.term >= self.term and not self._is_leader:
-            self.term = beat.term
-            self._heard_at = now - self.policy.heartbeat_timeout
+    def on_resignation(self, heartbeat: LeaderHeartbeat, now: Millis) -> None:
+        """Handle the resignation of the leader that sent ``heartbeat``."""
+        if heartbeat.term >= self.term and not self._is_leader:
+            self.term = heartbeat.term
+            self._waiting_since = now - self.policy.heartbeat_timeout
 
     def should_take_over(self, now: Millis) -> bool:
-        """Whether this node should try to take the row."""
-        if self._is_leader or now < self._not_before:
+        """Whether this node should try to replace the row."""
+        if self._is_leader or now < self._retry_at:
             return False
-        return now - self._heard_at >= self._wait()
+        return now - self._waiting_since >= self._takeover_delay()
 
-    def _wait(self) -> Millis:
+    def _takeover_delay(self) -> Millis:
         policy = self.policy
-        if self._heard_beat and self._heard_changing:
+        if self._has_heartbeat and self._is_leader_changing:
             return (
                 policy.heartbeat_timeout_in_change
                 + self.position * policy.stagger_in_change
             )
-        silence = (
+        timeout = (
             policy.heartbeat_timeout
-            if self._heard_beat
+            if self._has_heartbeat
             else policy.initial_heartbeat_timeout
         )
-        return silence + self.position * policy.stagger
+        return timeout + self.position * policy.stagger
 
     def is_confirmed(self, now: Millis) -> bool:
-        """Whether the row was this node's a moment ago."""
+        """Whether a recent write confirmed that this node is the leader."""
         return now - self._confirmed_at < self.policy.confirmation_ttl
 
     def may_start_change(
         self, reachable_peers: int, known_peers: int, now: Millis
     ) -> bool:
-        """Whether this node may begin a change of a map.
+        """Whether this node may start a map change.
 
-        What goes wrong without: a holder that is cut off from everybody goes on
-        beside its successor for as long as the cut lasts, and their changes
-        take turns at failing.
+        Without this check a fully partitioned leader stays active beside its successor
+        until the partition ends, and their concurrent changes make each other fail.
 
         Parameters
         ----------
         reachable_peers, known_peers : int
-            Other nodes that are heard, and all that are known.
+            Number of other nodes whose messages arrive, and of all other known nodes.
         now : int
+            Current time, in milliseconds.
         """
         if not self._is_leader:
             return False
         return self.is_confirmed(now) or 2 * reachable_peers >= known_peers
 
     def on_row_acquired(self, term: int, asked_at: Millis) -> None:
-        """Note that the row is this node's, as of a write sent at ``asked_at``."""
+        """Record that this node's write of the row, sent at ``asked_at``, succeeded."""
         self.term = term
         self._is_leader = True
-        self._heard_beat = True
-        self._heard_changing = False
+        self._has_heartbeat = True
+        self._is_leader_changing = False
         self._confirmed_at = asked_at
 
     def on_row_refused(self, term: int, now: Millis) -> bool:
-        """Note that the row is another's; return whether a term was lost."""
+        """Record that another node holds the row; return whether a term was lost."""
         self.term = max(self.term, term)
-        self._heard_at = now
-        self._heard_beat = False
-        lost = self._is_leader
+        self._waiting_since = now
+        self._has_heartbeat = False
+        has_lost_term = self._is_leader
         self._is_leader = False
-        return lost
+        return has_lost_term
 
     def on_store_unanswered(self, now: Millis) -> None:
-        """Note that the store gave no answer."""
-        self._not_before = now + self.policy.retry_delay
+        """Record that the store gave no answer."""
+        self._retry_at = now + self.policy.retry_delay
 
     def resign(self, now: Millis) -> None:
-        """Let another node try."""
+        """Step down, so that another node can take over."""
         self._is_leader = False
-        self._heard_at = now
-        self._not_before = now + self.policy.resign_backoff
+        self._waiting_since = now
+        self._retry_at = now + self.policy.resign_backoff
--- a/src/azurefold/core/groups/map_change.py
+++ b/src/azurefold/core/groups/map_change.py
@@ -1,18 +1,21 @@
-"""A map change by orders from afar, for ranks that have no agent beside them.
+"""Map change driven by remote orders, for ranks without a local agent.
 
-All ranks load the new map first. Then the group is held before a pass some way
-ahead, every rank is armed to switch at that pass, and when *all* have confirmed
-the hold is released. How long loading takes is known beforehand, so the pass is
-chosen, and the group held before it, while ranks still load.
+1. All ranks load the new map.
+2. The group is held before a forward pass some distance ahead.
+3. Every rank is armed to switch to the new map at that pass.
+4. When *all* ranks have confirmed, the hold is released.
 
-The hold is what makes this safe: without it the pass may begin while some ranks are
-armed and others are not, and they would run it under two maps. Chosen well, all are
-armed before the group gets there, and nobody waits.
+If the load time is known beforehand, the pass is chosen and the group is held
+before it while ranks are still loading.
 
-An order without an answer may be carried out seconds later. It then meets a
-pass that has begun, or a rank that is armed already, and is refused or changes
-nothing: that is why a change is brought to its end, and taken back only while a
-rank refuses to be armed.
+The hold makes the change safe. Without it the pass could start while only some
+ranks are armed, and the group would run it under two maps. If the pass is chosen
+far enough ahead, all ranks are armed before the group reaches it and no rank waits.
+
+An order without an answer may still be carried out seconds later. By then the pass
+has started or the rank is already armed, so the late order is refused or has no
+effect. For this reason a change is always driven to its end. It is rolled back only
+if a rank refuses to be armed.
 """
 
 from collections.abc import Iterable
@@ -53,17 +56,22 @@
 
 @dataclass(slots=True)
 class MapChange:
-    """State machine of one change.
+    """State machine of one map change.
 
     Parameters
     ----------
     version : int
-        Of the new map; above all that any rank has had.
+        Version of the new map. Must be higher than any version a rank has had.
     epoch : int
-        Of the group; in another epoch nothing of the change holds any more.
+        Epoch of the group. No order of the change is valid in another epoch.
     size : int
-        Ranks of the group.
+        Number of ranks in the group.
     policy : ChangePolicy
+        Timeouts and retry limits.
+    step : int
+        Number of the pass at which the ranks switch.
+    holding_ranks : list of int
+        Ranks that have been ordered to hold the group before ``step``.
     """
 
     version: int
@@ -73,108 +81,110 @@
     step: int = 0
     holding_ranks: list[int] = field(default_factory=list)
     _phase: _Phase = _Phase.PREPARING
-    _done: set[int] = field(default_factory=set)
-    _out: set[int] = field(default_factory=set)
+    _confirmed: set[int] = field(default_factory=set)
+    _in_flight: set[int] = field(default_factory=set)
     _loading: set[int] = field(default_factory=set)
     _load_ms: Millis | None = None
-    _loaded_at: Millis = 0
-    _unsure: set[int] = field(default_factory=set)
-    _repeated: set[int] = field(default_factory=set)
-    _next_at: dict[int, Millis] = field(default_factory=dict)
-    _began: Millis = 0
-    _entered: Millis = 0
-    _look_at: Millis = 0
-    _tries: int = 0
-    _passes: PassEstimate = field(default_factory=PassEstimate)
+    _expected_loaded_at: Millis = 0
+    _prepare_unconfirmed: set[int] = field(default_factory=set)
+    _prepare_resent: set[int] = field(default_factory=set)
+    _retry_at: dict[int, Millis] = field(default_factory=dict)
+    _started_at: Millis = 0
+    _phase_entered_at: Millis = 0
+    _poll_reports_at: Millis = 0
+    _hold_attempts: int = 0  # -1 if the change only releases or is rolled back
+    _pass_estimate: PassEstimate = field(default_factory=PassEstimate)
     _arming_ms: Millis = 0
     _preparing_ms: Millis = 0
     _answering_ms: Millis = 0
     _last_rank: int | None = None
-    _orders_lost: bool = False
+    _has_lost_orders: bool = False
 
     @property
     def arming_ms(self) -> Millis:
-        """What arming all ranks took; 0 if it did not come to that."""
+        """Time it took to arm all ranks; 0 if not all ranks were armed."""
         return self._arming_ms
 
     @property
     def preparing_ms(self) -> Millis:
-        """From the first order until a pass was chosen; 0 if none was."""
+        """Time from the first order to the choice of a pass; 0 if none was chosen."""
         return self._preparing_ms
 
     @property
     def answering_ms(self) -> Millis:
-        """What all ranks took to answer the first order; lost answers left out."""
+        """Longest time a rank took to answer the first order, without lost answers."""
         return self._answering_ms
 
     @property
     def last_rank(self) -> int | None:
-        """The rank that confirmed the newest phase's order last; None for none."""
+        """Rank that was the last to confirm a prepare or arm order; None if none."""
         return self._last_rank
 
     @property
     def phase(self) -> str:
-        """The phase's name, for logs."""
+        """Name of the current phase, for logs."""
         return self._phase.value
 
     @property
     def is_finished(self) -> bool:
-        """Whether nothing is left to do."""
+        """Whether the change has ended."""
         return self._phase is _Phase.FINISHED
 
     def start(
         self, pass_ms: float, now: Millis, load_ms: Millis | None = None
     ) -> list[ChangeAction]:
-        """Have all ranks load the new map.
+        """Order all ranks to load the new map.
 
         Parameters
         ----------
         pass_ms : float
-            Time that a pass takes at present.
+            Current duration of a pass, in milliseconds.
         now : int
+            Current time, in milliseconds.
         load_ms : int or None
-            Time that the rank with most to load needs for it. None if that is not
-            known: ranks then have to report that they are done, which they do some
-            200 ms later, and only after that the pass is chosen.
+            Load time of the rank with the most weights to load. If None, the pass is
+            chosen only after all ranks have reported that they are done, and such
+            reports arrive some 200 ms late.
         """
-        self._passes.pass_ms = pass_ms
+        self._pass_estimate.pass_ms = pass_ms
         self._load_ms = load_ms
-        self._began = self._entered = now
-        self._look_at = now + self.policy.report_poll_interval
-        return self._to_all(Prepare(self.version), now)
+        self._started_at = self._phase_entered_at = now
+        self._poll_reports_at = now + self.policy.report_poll_interval
+        return self._send_to_all(Prepare(self.version), now)
 
     def resume(
         self, step: int, holding_ranks: list[int], now: Millis, *, arm: bool
     ) -> list[ChangeAction]:
-        """Go on with a hold that is in place: arm all ranks, or only release.
+        """Continue with an existing hold: arm all ranks, or only release it.
 
         Parameters
         ----------
         step : int
-            The pass that the group is held before.
+            Number of the pass that the group is held before.
         holding_ranks : list of int
-            Ranks that hold it.
+            Ranks that hold the group.
         now : int
+            Current time, in milliseconds.
         arm : bool
-            Whether any rank is armed; then all have to be.
+            Whether to arm all ranks. Required if any rank is already armed.
         """
         self.step = step
         self.holding_ranks = holding_ranks
-        self._tries = 1 if arm else -1
+        self._hold_attempts = 1 if arm else -1
         if not arm:
-            return self._release(now)
+            return self._start_release(now)
         self._enter(_Phase.ARMING, now)
-        return self._to_all(Arm(self.version, step), now)
+        return self._send_to_all(Arm(self.version, step), now)
 
     def record_pass_start(self, step: int, now: Millis) -> None:
-        """Take in a pass that had begun at ``now``."""
-        self._passes.record_start(step, now)
+        """Record that pass ``step`` had started at ``now``."""
+        self._pass_estimate.record_start(step, now)
 
     def on_verdict(
         self, rank: int, order: RankOrder, verdict: Verdict, now: Millis
     ) -> list[ChangeAction]:
-        """Take in what came of an order."""
-        self._out.discard(rank)
+        """Handle the result of an order."""
+        self._in_flight.discard(rank)
         match self._phase, order:
             case _Phase.PREPARING, Prepare():
                 self._on_prepare(rank, verdict, now)
@@ -190,25 +200,25 @@
         return []
 
     def on_report(self, view: RankView, now: Millis) -> list[ChangeAction]:
-        """Take in a rank's report."""
+        """Handle a rank's report."""
         if self.is_finished:
             return []
         if view.epoch != self.epoch:
-            return self._end(ChangeEnd.NEW_EPOCH)
+            return self._finish(ChangeEnd.NEW_EPOCH)
         self.record_pass_start(view.step, now - REPORT_AGE_MS)
         match self._phase:
             case _Phase.PREPARING if view.prepared == self.version:
-                self._done.add(view.rank)
-                if len(self._done) == self.size:
-                    return self._hold(now)
+                self._confirmed.add(view.rank)
+                if len(self._confirmed) == self.size:
+                    return self._start_hold(now)
             case _Phase.ARMING if self.version in (view.armed, view.version):
-                return self._armed(view.rank, now)
+                return self._confirm_armed(view.rank, now)
             case _Phase.RELEASING if view.step >= self.step:
-                return self._end(ChangeEnd.IN_EFFECT)
+                return self._finish(ChangeEnd.IN_EFFECT)
         return []
 
     def tick(self, now: Millis) -> list[ChangeAction]:
-        """Repeat what got no answer, and give up what takes too long."""
+        """Retry unanswered orders and end the change on a timeout."""
         match self._phase:
             case _Phase.PREPARING:
                 return self._tick_preparing(now)
@@ -219,39 +229,39 @@
         return []
 
     def _tick_preparing(self, now: Millis) -> list[ChangeAction]:
-        if now - self._began >= self.policy.prepare_timeout:
-            return self._end(ChangeEnd.NOT_PREPARED)
-        if self._knows_when_loaded:
-            # Sooner than its lead the hold would stand for longer than it has to.
-            is_time = now >= self._loaded_at - self.policy.lead_time
-            return self._hold(now) if is_time else []
-        missing = [rank for rank in range(self.size) if rank not in self._done]
+        if now - self._started_at >= self.policy.prepare_timeout:
+            return self._finish(ChangeEnd.NOT_PREPARED)
+        if self._is_load_time_known:
+            # An earlier hold would last longer than necessary.
+            is_hold_due = now >= self._expected_loaded_at - self.policy.lead_time
+            return self._start_hold(now) if is_hold_due else []
+        missing = [rank for rank in range(self.size) if rank not in self._confirmed]
         actions: list[ChangeAction] = []
         for rank in missing:
-            if rank in self._unsure and now >= self._next_at[rank]:
-                self._unsure.discard(rank)
-                self._repeated.add(rank)
+            if rank in self._prepare_unconfirmed and now >= self._retry_at[rank]:
+                self._prepare_unconfirmed.discard(rank)
+                self._prepare_resent.add(rank)
                 actions += self._send(rank, Prepare(self.version), now)
-        if now >= self._look_at:
-            self._look_at = now + self.policy.report_poll_interval
+        if now >= self._poll_reports_at:
+            self._poll_reports_at = now + self.policy.report_poll_interval
             actions += [RequestReport(rank) for rank in missing]
         return actions
 
     @property
-    def _knows_when_loaded(self) -> bool:
-        """Whether all ranks are loading, and it is known for how long."""
+    def _is_load_time_known(self) -> bool:
+        """Whether all ranks are loading and the time this takes is known."""
         return self._load_ms is not None and len(self._loading) == self.size
 
     def _tick_held(self, now: Millis) -> list[ChangeAction]:
-        if now - self._entered >= self.policy.hold_timeout:
-            return self._end(ChangeEnd.STUCK)
-        missing = [rank for rank in self._wanted() if rank not in self._done]
-        ready = [rank for rank in missing if rank not in self._out]
-        due = [rank for rank in ready if now >= self._next_at.get(rank, 0)]
-        order = self._order()
+        if now - self._phase_entered_at >= self.policy.hold_timeout:
+            return self._finish(ChangeEnd.STUCK)
+        missing = [rank for rank in self._target_ranks() if rank not in self._confirmed]
+        ready = [rank for rank in missing if rank not in self._in_flight]
+        due = [rank for rank in ready if now >= self._retry_at.get(rank, 0)]
+        order = self._phase_order()
         return [action for rank in due for action in self._send(rank, order, now)]
 
-    def _wanted(self) -> Iterable[int]:
+    def _target_ranks(self) -> Iterable[int]:
         match self._phase:
             case _Phase.HOLDING:
                 return self.holding_ranks[-1:]
@@ -259,7 +269,7 @@
                 return self.holding_ranks
         return range(self.size)
 
-    def _order(self) -> RankOrder:
+    def _phase_order(self) -> RankOrder:
         match self._phase:
             case _Phase.HOLDING:
                 return Hold(self.step)
@@ -269,141 +279,157 @@
                 return Release(self.step)
         return Disarm(self.version)
 
-    def _hold(self, now: Millis) -> list[ChangeAction]:
-        self._tries += 1
-        if self._tries > self.policy.max_hold_attempts:
-            return self._end(ChangeEnd.NOT_PREPARED)
+    def _start_hold(self, now: Millis) -> list[ChangeAction]:
+        self._hold_attempts += 1
+        if self._hold_attempts > self.policy.max_hold_attempts:
+            return self._finish(ChangeEnd.NOT_PREPARED)
         if self._phase is _Phase.PREPARING:
-            self._preparing_ms = now - self._began
-        lead = max(self.policy.lead_time, self._loaded_at - now)
-        if self._orders_lost or self.policy.has_lost_orders:
+            self._preparing_ms = now - self._started_at
+        lead = max(self.policy.lead_time, self._expected_loaded_at - now)
+        if self._has_lost_orders or self.policy.has_lost_orders:
             lead += self.policy.lossy_lead_time
         ahead = max(
-            self._passes.passes_until(now + lead, now), self.policy.min_lead_passes
+            self._pass_estimate.passes_until(now + lead, now),
+            self.policy.min_lead_passes,
+        )
+        self.step = (
+            self._pass_estimate.newest_started + ahead + 2 * (self._hold_attempts - 1)
         )
-        self.step = self._passes.newest_started + ahead + 2 * (self._tries - 1)
-        # One rank is enough to hold the group. Another one each time, should
-        # the last be the one that does not answer.
-        self.holding_ranks = [(self.version + self._tries) % self.size]
+        # One rank is enough to hold the group. Each attempt uses another rank, in
+        # case the previous one does not respond.
+        self.holding_ranks = [(self.version + self._hold_attempts) % self.size]
         self._enter(_Phase.HOLDING, now)
         return self._send(self.holding_ranks[0], Hold(self.step), now)
 
     def _on_prepare(self, rank: int, verdict: Verdict, now: Millis) -> None:
-        # A repeat is refused where the order before it was carried out and only its
-        # answer was lost: the rank loads at the latest since now.
-        is_repeat = rank in self._repeated
-        if verdict is Verdict.ACCEPTED or (verdict is Verdict.REFUSED and is_repeat):
+        # A resent order is refused if the first one was carried out and only its
+        # answer was lost. Then the rank started to load no later than now.
+        is_resent = rank in self._prepare_resent
+        if verdict is Verdict.ACCEPTED or (verdict is Verdict.REFUSED and is_resent):
             self._last_rank = rank
             self._loading.add(rank)
-            self._loaded_at = now + (self._load_ms or 0)
-            if not is_repeat:
-                self._answering_ms = max(self._answering_ms, now - self._began)
+            self._expected_loaded_at = now + (self._load_ms or 0)
+            if not is_resent:
+                self._answering_ms = max(self._answering_ms, now - self._started_at)
         else:
-            self._unsure.add(rank)
-            self._orders_lost |= verdict is Verdict.LOST
+            self._prepare_unconfirmed.add(rank)
+            self._has_lost_orders |= verdict is Verdict.LOST
 
     def _on_hold(self, rank: int, verdict: Verdict, now: Millis) -> list[ChangeAction]:
         match verdict:
             case Verdict.ACCEPTED:
                 self._enter(_Phase.ARMING, now)
-                if now >= self._loaded_at:
-                    return self._to_all(Arm(self.version, self.step), now)
-                self._next_at = dict.fromkeys(range(self.size), self._loaded_at)
+                if now >= self._expected_loaded_at:
+                    return self._send_to_all(Arm(self.version, self.step), now)
+                self._retry_at = dict.fromkeys(
+                    range(self.size), self._expected_loaded_at
+                )
                 return []
             case Verdict.REFUSED:
-                # The pass has begun, and no hold for it can take effect later.
+                # The pass has started, so no late hold for it can take effect.
                 self.record_pass_start(self.step, now)
-                return self._hold(now)
-        # It may hold the group now, or later, so it is released with the rest.
+                return self._start_hold(now)
+        # The order may have taken effect or may do so later, so this rank stays in
+        # the list and is released with the others.
         self.holding_ranks.append((rank + 1) % self.size)
         return self._send(self.holding_ranks[-1], Hold(self.step), now)
 
     def _on_arm(self, rank: int, verdict: Verdict, now: Millis) -> list[ChangeAction]:
         match verdict:
             case Verdict.ACCEPTED:
-                return self._armed(rank, now)
-            case Verdict.REFUSED if self._may_still_load(now):
-                self._next_at[rank] = now + self.policy.arm_retry_interval
+                return self._confirm_armed(rank, now)
+            case Verdict.REFUSED if self._may_still_be_loading(now):
+                self._retry_at[rank] = now + self.policy.arm_retry_interval
                 return []
             case Verdict.REFUSED:
                 return self._roll_back(now)
         return [RequestReport(rank)]
 
-    def _may_still_load(self, now: Millis) -> bool:
-        """Whether a rank that refuses to be armed may be loading still.
+    def _may_still_be_loading(self, now: Millis) -> bool:
+        """Whether a rank that refuses to be armed may still be loading.
 
-        For a short time only. Whoever takes over while no rank is armed releases
-        the group at its pass; an order to arm that came at that moment would have
-        one rank run the pass under another map.
+        True for a short time only. A coordinator that takes over while no rank is
+        armed releases the group at its pass. If a rank were armed at that moment, it
+        would run the pass under another map than the other ranks.
         """
-        in_time = now - self._entered < self.policy.arm_timeout
-        return self._knows_when_loaded and in_time
+        is_within_timeout = now - self._phase_entered_at < self.policy.arm_timeout
+        return self._is_load_time_known and is_within_timeout
 
-    def _armed(self, rank: int, now: Millis) -> list[ChangeAction]:
-        self._done.add(rank)
+    def _confirm_armed(self, rank: int, now: Millis) -> list[ChangeAction]:
+        self._confirmed.add(rank)
         self._last_rank = rank
-        if len(self._done) < self.size:
+        if len(self._confirmed) < self.size:
             return []
-        self._arming_ms = max(1, now - max(self._entered, self._loaded_at))
-        return self._release(now)
+        self._arming_ms = max(
+            1, now - max(self._phase_entered_at, self._expected_loaded_at)
+        )
+        return self._start_release(now)
 
-    def _release(self, now: Millis) -> list[ChangeAction]:
+    def _start_release(self, now: Millis) -> list[ChangeAction]:
         self._enter(_Phase.RELEASING, now)
         order = Release(self.step)
         return [
-            action for r in self.holding_ranks for action in self._send(r, order, now)
+            action
+            for rank in self.holding_ranks
+            for action in self._send(rank, order, now)
         ]
 
     def _on_release(
         self, rank: int, verdict: Verdict, now: Millis
     ) -> list[ChangeAction]:
-        # Refused where there is no hold, or where the pass has begun.
+        # A refusal means that there is no hold or that the pass has started.
         if verdict is Verdict.LOST:
             return []
-        self._done.add(rank)
-        if any(holder not in self._done for holder in self.holding_ranks):
+        self._confirmed.add(rank)
+        if any(holder not in self._confirmed for holder in self.holding_ranks):
             return []
-        return self._end(self._outcome())
+        return self._finish(self._end_after_release())
 
-    def _outcome(self) -> ChangeEnd:
-        return ChangeEnd.ROLLED_BACK if self._tries < 0 else ChangeEnd.IN_EFFECT
+    def _end_after_release(self) -> ChangeEnd:
+        return ChangeEnd.ROLLED_BACK if self._hold_attempts < 0 else ChangeEnd.IN_EFFECT
 
     def _roll_back(self, now: Millis) -> list[ChangeAction]:
-        """Disarm all ranks, since one of them cannot be armed.
+        """Disarm all ranks because one of them cannot be armed.
 
-        An order to arm that is carried out after that is refused: the pass
-        begins within milliseconds of the last rank's answer.
+        A late order to arm is refused, because the pass starts within milliseconds
+        of the last rank's answer.
         """
-        self._tries = -1
+        self._hold_attempts = -1
         self._enter(_Phase.ROLLING_BACK, now)
-        return self._to_all(Disarm(self.version), now)
+        return self._send_to_all(Disarm(self.version), now)
 
     def _on_disarm(
         self, rank: int, verdict: Verdict, now: Millis
     ) -> list[ChangeAction]:
         if verdict is Verdict.LOST:
             return []
-        self._done.add(rank)
-        return self._release(now) if len(self._done) == self.size else []
+        self._confirmed.add(rank)
+        return self._start_release(now) if len(self._confirmed) == self.size else []
 
-    def _to_all(self, order: RankOrder, now: Millis) -> list[ChangeAction]:
-        return [a for rank in range(self.size) for a in self._send(rank, order, now)]
+    def _send_to_all(self, order: RankOrder, now: Millis) -> list[ChangeAction]:
+        return [
+            action
+            for rank in range(self.size)
+            for action in self._send(rank, order, now)
+        ]
 
     def _send(self, rank: int, order: RankOrder, now: Millis) -> list[ChangeAction]:
-        first = isinstance(order, Prepare)
+        is_prepare = isinstance(order, Prepare)
         wait = (
-            self.policy.prepare_retry_interval if first else self.policy.retry_interval
+            self.policy.prepare_retry_interval
+            if is_prepare
+            else self.policy.retry_interval
         )
-        self._next_at[rank] = now + wait
-        self._out.add(rank)
+        self._retry_at[rank] = now + wait
+        self._in_flight.add(rank)
         return [SendOrder(rank, order)]
 
     def _enter(self, phase: _Phase, now: Millis) -> None:
         self._phase = phase
-        self._entered = now
-        self._done = set()
-        self._out = set()
+        self._phase_entered_at = now
+        self._confirmed = set()
+        self._in_flight = set()
 
-    def _end(self, end: ChangeEnd) -> list[ChangeAction]:
+    def _finish(self, end: ChangeEnd) -> list[ChangeAction]:
         self._phase = _Phase.FINISHED
         return [ChangeFinished(end)]
--- a/src/azurefold/core/groups/map_orders.py
+++ b/src/azurefold/core/groups/map_orders.py
@@ -1,4 +1,4 @@
-"""Orders to ranks from afar, what ranks report, and the waits between."""
+"""Remote orders to ranks, their results, rank reports, and timeouts of a change."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -28,36 +28,36 @@
 ]
 
 REPORT_AGE_MS: Millis = 250
-"""Of what a rank reports: 200 to 300 ms by the passes that it lags behind."""
+"""Typical age of a rank report: it lags 200 to 300 ms behind the passes."""
 
 _EXCHANGE_MS: Millis = 40
-"""For the order to hold and its answer: 3 to 10 ms, and the tick that sends it."""
+"""Time for the hold order and its answer: 3 to 10 ms plus the tick that sends it."""
 
-_ARM_MS: Millis = 3
-"""A rank's part in arming all: 16 ranks are armed after some 40 ms, 72 after some
-200, as orders go out one after the other."""
+_ARM_MS_PER_RANK: Millis = 3
+"""Orders are sent one after the other: arming takes some 40 ms for 16 ranks and some
+200 ms for 72."""
 
 _LOSSY_LEAD_MS: Millis = 400
-"""Of 72 orders to arm some get no answer where one in ten gets none, and each is sent
-again twice on average."""
+"""If one order in ten gets no answer, some of 72 arm orders get none, and each of
+these is resent twice on average."""
 
 ARM_TIMEOUT_MS: Millis = 150
-"""The longest that a hold stands before ranks are armed. Another coordinator lets it
-stand for longer before it releases a group in which no rank seems to be armed."""
+"""Maximum time from the hold until ranks are armed. Another coordinator waits longer
+than this before it releases a group in which no rank seems to be armed."""
 
 ORDER_RETRY_MS: Millis = 150
-"""Until an order other than to prepare that got no answer is sent again: late enough
-for 72 answers, soon enough that one lost order keeps no group from its pass."""
+"""Time after which an unanswered order other than :class:`Prepare` is resent. Long
+enough for 72 answers, short enough that one lost order does not delay a pass."""
 
 PREPARE_ANSWER_TIMEOUT_MS: Millis = 400
-"""The longest that an answer to a whole map is waited for: 72 maps on a slow link take
-200."""
+"""Answer timeout of :class:`Prepare`, which carries a whole map: sending 72 maps over
+a slow link takes 200 ms."""
 
 _ANSWERING_MARGIN = 2
-"""On the time that all ranks took to answer, for slower ones."""
+"""Factor on the time all ranks took to answer, to allow for slower answers."""
 
 _ARMING_MARGIN = 1.5
-"""On the time that arming all ranks took, for its tail."""
+"""Factor on the time it took to arm all ranks, to cover the tail latency."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -69,14 +69,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Hold:
-    """Let the group not begin pass ``step`` until it is released."""
+    """Do not let the group start pass ``step`` until the hold is released."""
 
     step: int
 
 
 @dataclass(frozen=True, slots=True)
 class Arm:
-    """Switch to map ``version`` as pass ``step`` begins."""
+    """Switch to map ``version`` at the start of pass ``step``."""
 
     version: int
     step: int
@@ -84,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Disarm:
-    """Do not switch to map ``version`` after all."""
+    """Cancel the switch to map ``version``."""
 
     version: int
 
@@ -100,7 +100,7 @@
 
 
 class Verdict(Enum):
-    """What came of an order."""
+    """Result of an order; ``LOST`` means that no answer arrived."""
 
     ACCEPTED = "accepted"
     REFUSED = "refused"
@@ -109,27 +109,28 @@
 
 @dataclass(frozen=True, slots=True)
 class RankView:
-    """What one rank reports; some hundred milliseconds old.
+    """State of one rank as reported; some hundred milliseconds old.
 
     Parameters
     ----------
     rank : int
+        Rank number.
     epoch : int
-        Rises each time the group forms anew.
+        Epoch of the group, incremented each time the group is re-formed.
     is_running : bool
-        Whether the group runs.
+        Whether the group is running.
     step : int
-        The last pass that was begun.
+        Number of the last pass that was started.
     version : int
-        Of the map in force.
+        Version of the map in effect.
     prepared, armed : int or None
-        Versions that are loaded, and armed.
+        Version of the map that is loaded, and of the map that is armed.
     held : int or None
-        The pass that this rank keeps the group from.
+        Number of the pass that this rank prevents the group from starting.
     active : int
-        Requests that it runs.
+        Number of requests the rank is running.
     pace : float
-        Above 1 if it is slow as such.
+        Relative slowness of the rank itself; above 1 if it is a straggler.
     """
 
     rank: int
@@ -146,7 +147,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendOrder:
-    """Send an order to a rank, and report its verdict."""
+    """Send an order to a rank and report the result with ``on_verdict``."""
 
     rank: int
     order: RankOrder
@@ -154,7 +155,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestReport:
-    """Ask a rank for its report."""
+    """Request a report from a rank."""
 
     rank: int
 
@@ -171,7 +172,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeFinished:
-    """The change is over; ``STUCK`` leaves the group held for a successor."""
+    """The change has ended; after ``STUCK`` the group is still held for a successor."""
 
     end: ChangeEnd
 
@@ -181,39 +182,39 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangePolicy:
-    """Waits of a change, in milliseconds.
+    """Timeouts, in milliseconds, and retry limits of a map change.
 
     Parameters
     ----------
     prepare_timeout : int
-        For all ranks to load the weights; beyond the 0.3 s that it takes, one
-        repeat for a lost order.
+        Time for all ranks to load the weights. Loading takes 0.3 s; the rest allows
+        one retry of a lost order.
     prepare_retry_interval : int
-        Until an order to prepare that got no answer is sent again; as long as its
-        answer is waited for. Loading begins so much later at a rank that did not get
-        it, and all others wait.
+        Time after which an unanswered order to prepare is resent, equal to its answer
+        timeout. A rank that missed the order starts to load this much later, and all
+        other ranks wait for it.
     report_poll_interval : int
-        Between two looks at the reports of ranks that are still loading.
+        Time between two requests for the reports of ranks that are still loading.
     arm_retry_interval : int
-        Until a rank that may still be loading is told again to be armed.
+        Time until the order to arm is resent to a rank that may still be loading.
     arm_timeout : int
-        With the group held, for which ranks may still be loading.
+        Time, with the group held, during which ranks may still be loading.
     lead_time : int
-        From the choice of a pass to that pass: the exchanges with the ranks. If it
-        is too short the group is held, and all its streams are late.
+        Time from the choice of a pass to its start, needed for the exchanges with the
+        ranks. If it is too short, the group waits and all its streams are delayed.
     lossy_lead_time : int
-        Added where orders get no answer. Without it the group was held for 0.44 s
-        when one order in ten got none.
+        Additional lead time if orders get no answer. Without it the group was held
+        for 0.44 s when one order in ten got none.
     has_lost_orders : bool
-        Whether orders got no answer lately.
+        Whether orders recently got no answer.
     min_lead_passes : int
-        Passes that lie between at least.
+        Minimum number of passes between the choice of a pass and its start.
     retry_interval : int
-        Until an order other than to prepare is sent again.
+        Time until an order other than :class:`Prepare` is resent.
     hold_timeout : int
-        With the group held, until another coordinator should try.
+        Time, with the group held, until another coordinator should take over.
     max_hold_attempts : int
-        Passes to try before the change is given up.
+        Number of passes to try before the change is abandoned.
     """
 
     prepare_timeout: Millis = 2_500
@@ -237,18 +238,18 @@
     *,
     has_lost_orders: bool = False,
 ) -> ChangePolicy:
-    """Return the waits of a change for a group of ``size`` ranks.
+    """Return the policy of a change for a group of ``size`` ranks.
 
     Parameters
     ----------
     size : int
+        Number of ranks in the group.
     arming_ms : int
-        What arming all ranks took lately; 0 if that is not known.
+        Recent time to arm all ranks; 0 if unknown.
     answering_ms : int
-        What all ranks took lately to answer an order to prepare; 0 if that is not
-        known.
+        Recent time of all ranks to answer an order to prepare; 0 if unknown.
     has_lost_orders : bool
-        Whether orders got no answer lately.
+        Whether orders recently got no answer.
 
     Examples
     --------
@@ -261,13 +262,15 @@
     >>> make_change_policy(16, 40, 50).prepare_retry_interval
     150
     """
-    arming = arming_ms or _ARM_MS * size
-    lead = _EXCHANGE_MS + round(_ARMING_MARGIN * arming)
-    repeat = min(
+    arming_estimate_ms = arming_ms or _ARM_MS_PER_RANK * size
+    lead_time = _EXCHANGE_MS + round(_ARMING_MARGIN * arming_estimate_ms)
+    retry_interval = min(
         PREPARE_ANSWER_TIMEOUT_MS, max(ORDER_RETRY_MS, _ANSWERING_MARGIN * answering_ms)
     )
     if not answering_ms:
-        repeat = PREPARE_ANSWER_TIMEOUT_MS
+        retry_interval = PREPARE_ANSWER_TIMEOUT_MS
     return ChangePolicy(
-        prepare_retry_interval=repeat, lead_time=lead, has_lost_orders=has_lost_orders
+        prepare_retry_interval=retry_interval,
+        lead_time=lead_time,
+        has_lost_orders=has_lost_orders,
     )
--- a/src/azurefold/core/groups/messages.py
+++ b/src/azurefold/core/groups/messages.py
@@ -1,13 +1,12 @@
 """Messages of the protocol that changes a group's expert map.
 
-All are frozen data classes of plain values, so that a codec can carry them as
-they are. :data:`MESSAGE_TYPES` names each type for the envelope on the wire.
-
-A change is known by its *order number*, which holds the fence of the
-coordinator's lease above a serial number of that coordinator. Numbers therefore
-rise from change to change and from one coordinator to the next, and the engine,
-which stores the number of each order, tells a restarted agent what its
-predecessor had done.
+All messages are frozen data classes of plain values, so a codec can encode them as
+they are. :data:`MESSAGE_TYPES` maps type names to types for the envelope on the wire.
+
+A change is identified by its *order number*, which holds the fence of the coordinator's
+lease above a serial number of that coordinator. Numbers therefore increase from change
+to change and from one coordinator to the next. The engine stores the number of each
+order, from which a restarted agent learns what its predecessor had done.
 """
 
 from dataclasses import dataclass
@@ -37,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Query:
-    """Adopt ``fence`` and report; ``token`` ties the report to this query."""
+    """Adopt ``fence`` and report the state; ``token`` identifies the query."""
 
     fence: int
     token: int
@@ -45,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Stage:
-    """Load the weights of ``map_id`` beside those in use."""
+    """Load the weights of ``map_id`` in addition to those in use."""
 
     fence: int
     map_id: str
@@ -53,9 +52,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Close:
-    """Stop before ``step`` unless told otherwise; None: as soon as possible.
+    """Stop before ``step`` until the change is decided.
 
-    ``map_id`` is the map that the change would put in force.
+    With ``step`` None the rank stops as soon as possible. ``map_id`` is the new map.
     """
 
     number: int
@@ -67,7 +66,8 @@
 class Open:
     """Use ``map_id`` from ``step`` on: all ranks have agreed to the close.
 
-    ``incarnation`` is the one that agreed, since a replaced rank has not.
+    ``incarnation`` is the incarnation of the rank that agreed; a replacement of that
+    rank has not agreed.
     """
 
     number: int
@@ -78,14 +78,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Reopen:
-    """Keep the old map: this change was never opened and never will be."""
+    """Keep the old map: the change was not opened and never will be."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class Ask:
-    """A peer's question: is change ``number``, closed at ``step``, decided?"""
+    """Query of a peer: is change ``number``, closed at ``step``, decided?"""
 
     number: int
     step: int
@@ -94,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Status:
-    """The answer to :class:`Query`."""
+    """Reply to :class:`Query`."""
 
     token: int
     rank: int
@@ -111,7 +111,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CloseAgreed:
-    """The rank holds before ``step`` until the change is decided."""
+    """The rank stops before ``step`` until the change is decided."""
 
     number: int
     rank: int
@@ -121,7 +121,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CloseRefused:
-    """The rank does not take part in the change."""
+    """The rank does not agree to the close, for ``reason``."""
 
     number: int
     rank: int
@@ -130,7 +130,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Decided:
-    """The change ended at this rank: ``map_id`` from ``step`` on."""
+    """The change has ended at this rank, which uses ``map_id`` from ``step`` on."""
 
     number: int
     rank: int
@@ -140,7 +140,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenRefused:
-    """The rank did not agree to the close, or promised not to open."""
+    """The rank has not agreed to the close, or has promised not to open."""
 
     number: int
     rank: int
@@ -148,7 +148,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ended:
-    """The rank is not, or no longer, held by the change."""
+    """The rank is not or no longer held by the change."""
 
     number: int
     rank: int
@@ -156,9 +156,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Promised:
-    """The rank has not opened the change and never will by itself.
+    """The rank has not opened the change and refuses to open it from now on.
 
-    ``tail`` is the last entry of its plan: what reopening would leave in force.
+    ``tail`` is the last entry of its plan, which would stay active after a reopening.
     """
 
     number: int
@@ -168,7 +168,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Superseded:
-    """The rank follows a coordinator with the higher ``fence``."""
+    """The rank follows a coordinator with a higher fence, ``fence``."""
 
     rank: int
     fence: int
@@ -189,8 +189,8 @@
 Message = CoordinatorMessage | PeerMessage | Reply
 
 MESSAGE_TYPES: dict[str, type] = {
-    kind.__name__: kind
-    for kind in (
+    message_type.__name__: message_type
+    for message_type in (
         *(Query, Stage, Close, Open, Reopen, Ask, Status, Staged, CloseAgreed),
         *(CloseRefused, Decided, OpenRefused, Ended, Promised, Superseded),
     )
--- a/src/azurefold/core/groups/order_numbers.py
+++ b/src/azurefold/core/groups/order_numbers.py
@@ -1,4 +1,4 @@
-"""Numbers of changes to expert maps, which rise over all coordinators.
+"""Numbers of map changes, increasing across all coordinators.
 
 An order number holds the fence of the coordinator's lease above a serial number of that
 coordinator.
@@ -24,7 +24,9 @@
     7
     """
     if not 0 <= serial < SERIALS_PER_FENCE:
-        raise ValueError(f"serial {serial} out of range; take the lease anew")
+        raise ValueError(
+            f"serial {serial} is out of range; renew the lease under a new fence"
+        )
     return fence * SERIALS_PER_FENCE + serial
 
 
--- a/src/azurefold/core/groups/pass_estimate.py
+++ b/src/azurefold/core/groups/pass_estimate.py
@@ -1,4 +1,4 @@
-"""Where a group is in its passes, worked out from the last one that is known."""
+"""Estimate of a group's current forward pass from the last one reported."""
 
 from dataclasses import dataclass
 from math import ceil
@@ -7,32 +7,34 @@
 
 __all__ = ["PassEstimate"]
 
-_LONGEST_SINCE_MS: Millis = 1_500
-"""For which passes are taken to have gone on since the last one that is known: a
-group without requests makes none, and would be armed for a pass that never comes."""
+_MAX_EXTRAPOLATION_MS: Millis = 1_500
+"""Maximum time since the last known pass for which passes are assumed to continue. A
+group without requests runs no passes and would be armed for one that never starts."""
 
 
 @dataclass(slots=True)
 class PassEstimate:
-    """The last pass that is known to have begun, and how long one takes.
+    """The newest pass known to have started, and the duration of a pass.
 
     Parameters
     ----------
     newest_started : int
+        Number of the newest pass known to have started.
     pass_ms : float
+        Duration of a pass, in milliseconds.
     """
 
     newest_started: int = 0
     pass_ms: float = 60.0
-    _seen_at: Millis = 0
+    _newest_started_at: Millis = 0
 
     def record_start(self, step: int, at: Millis) -> None:
-        """Take in a pass that had begun at a time."""
+        """Record that pass ``step`` had started at ``at``."""
         if step > self.newest_started:
-            self.newest_started, self._seen_at = step, at
+            self.newest_started, self._newest_started_at = step, at
 
     def passes_until(self, time: Millis, now: Millis) -> int:
-        """Return how many passes behind the newest known one begins by ``time``.
+        """Return how many passes after the newest known one start by ``time``.
 
         Examples
         --------
@@ -41,5 +43,5 @@
         >>> passes.passes_until(1_300, now=1_100)
         6
         """
-        since = min(now - self._seen_at, _LONGEST_SINCE_MS)
-        return ceil((since + time - now) / self.pass_ms)
+        elapsed = min(now - self._newest_started_at, _MAX_EXTRAPOLATION_MS)
+        return ceil((elapsed + time - now) / self.pass_ms)
--- a/src/azurefold/core/groups/phases.py
+++ b/src/azurefold/core/groups/phases.py
@@ -1,4 +1,4 @@
-"""Phases of a coordinator and outcomes of the changes that it drives."""
+"""Phases of a coordinator and outcomes of its changes."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -20,7 +20,7 @@
 
 
 class ChangeInProgressError(Exception):
-    """A change was asked for while another is under way."""
+    """A change was requested while another is in progress."""
 
 
 class Outcome(Enum):
@@ -33,14 +33,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Idle:
-    """The group is sound and no change is wanted until the next check."""
+    """The group is healthy and no change is requested; the next check is scheduled."""
 
     check_at: Millis
 
 
 @dataclass(frozen=True, slots=True)
 class Checking:
-    """Waiting for every rank's status, which must carry ``token``."""
+    """Waiting for the status of every rank, with the token of the query."""
 
     token: int
 
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Closing:
-    """Waiting for every rank to agree; ``step`` is None in a recovery."""
+    """Waiting for every rank to agree to the close; ``step`` is None in a recovery."""
 
     number: int
     step: int | None
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Opening:
-    """All have agreed; waiting for every rank to report the change decided."""
+    """All ranks have agreed; waiting for each to report that the change is decided."""
 
     number: int
     step: int
@@ -77,14 +77,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Reopening:
-    """The change was given up; waiting for every rank to be free of it."""
+    """The change was aborted; waiting until it holds no rank any more."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class Deposed:
-    """A rank follows a coordinator with a higher fence; nothing more is done."""
+    """A rank follows a coordinator with a higher fence; this one stays inactive."""
 
     by_fence: int
 
--- a/src/azurefold/core/groups/popularity.py
+++ b/src/azurefold/core/groups/popularity.py
@@ -1,4 +1,4 @@
-"""What the ranks report of their experts, as input to the balance decision."""
+"""Popularity of experts from the reports of all ranks, for the balance decision."""
 
 from dataclasses import dataclass
 
@@ -31,13 +31,13 @@
     map_id : str
         The map in use.
     layers : tuple of Assignment
-        Its content.
+        Content of the map, by layer.
     tokens : tuple of tuple of int, shape (n_layers, n_experts)
-        Tokens of this rank's requests that chose each expert.
+        Number of tokens of this rank's requests that were routed to each expert.
     work : float
-        Tokens worked on by the experts that this rank holds.
+        Number of tokens processed by the experts on this rank.
     busy_us : int
-        Time it computed for them, without waits for other ranks.
+        Computing time for these tokens in microseconds, without waits for other ranks.
     """
 
     map_id: str
@@ -49,20 +49,20 @@
 
 @dataclass(frozen=True, slots=True)
 class GroupPopularity:
-    """Popularity by layer and pace by rank, from reports of all ranks.
+    """Popularity by layer and pace by rank, from the reports of all ranks.
 
     Parameters
     ----------
     time_constant : int
         Time constant of the popularity, in milliseconds.
     reports : tuple of RankReport
-        The last ones; empty before the first.
+        The last report of each rank; empty before the first.
     reported_at : int
-        When they came, in milliseconds.
+        Time of the last reports, in milliseconds.
     layers : tuple of Popularity
-        Empty until two reports have been compared.
+        Popularity by layer; empty until two reports have been compared.
     paces : tuple of RankPace
-        One for each rank.
+        Pace of each rank.
     """
 
     time_constant: Millis
@@ -74,59 +74,66 @@
     def with_reports(
         self, reports: tuple[RankReport, ...], now: Millis
     ) -> "GroupPopularity":
-        """Return the state after each rank has reported.
+        """Return the state after a report of each rank.
 
-        Reports that do not fit the last ones, of engines with other layers or
-        another number of ranks, begin anew.
+        If the number of ranks, layers or experts differs from the last reports, the
+        popularity and the paces are reset.
         """
-        begun = _same_shape(self.reports, reports)
-        span = now - self.reported_at
-        if not begun or span <= 0:
+        has_same_shape = _same_shape(self.reports, reports)
+        elapsed = now - self.reported_at
+        if not has_same_shape or elapsed <= 0:
             return GroupPopularity(
                 self.time_constant, reports, now, paces=initial_paces(len(reports))
             )
-        counts = _group_counts(self.reports, reports)
-        known = self.layers or tuple(
-            new_popularity(len(layer), self.time_constant) for layer in counts
+        counts = _token_growth(self.reports, reports)
+        popularities = self.layers or tuple(
+            new_popularity(len(layer_counts), self.time_constant)
+            for layer_counts in counts
         )
         layers = tuple(
-            update_popularity(popularity, layer, span, now)
-            for popularity, layer in zip(known, counts, strict=True)
+            update_popularity(popularity, layer_counts, elapsed, now)
+            for popularity, layer_counts in zip(popularities, counts, strict=True)
+        )
+        work = _counter_growth(
+            [report.work for report in self.reports],
+            [report.work for report in reports],
+        )
+        busy = _counter_growth(
+            [report.busy_us for report in self.reports],
+            [report.busy_us for report in reports],
         )
-        work = _grown([r.work for r in self.reports], [r.work for r in reports])
-        busy = _grown([r.busy_us for r in self.reports], [r.busy_us for r in reports])
         paces = update_paces(self.paces, work, busy, now)
         return GroupPopularity(self.time_constant, reports, now, layers, paces)
 
     @property
     def is_known(self) -> bool:
-        """Whether a decision can rest on it: tokens came, and one map is in use."""
-        maps = {report.map_id for report in self.reports}
-        return len(maps) == 1 and any(sum(layer.rates) > 0 for layer in self.layers)
+        """Whether a decision is possible: tokens were counted and one map is in use."""
+        map_ids = {report.map_id for report in self.reports}
+        return len(map_ids) == 1 and any(sum(layer.rates) > 0 for layer in self.layers)
 
     @property
     def map_id(self) -> str:
-        """The map that the ranks last said they use."""
+        """The map in use according to the last reports."""
         return self.reports[0].map_id
 
     def layer_views(self) -> tuple[LayerView, ...]:
-        """Return the layers for the decision, those without tokens left out."""
+        """Return the layers for the decision, without layers that have no tokens."""
         assignments = self.reports[0].layers
         rank_speeds = planning_speeds(self.paces)
         pairs = zip(self.layers, assignments, strict=True)
         return tuple(
-            LayerView(number, popularity.rates, assignment, rank_speeds)
-            for number, (popularity, assignment) in enumerate(pairs)
+            LayerView(layer, popularity.rates, assignment, rank_speeds)
+            for layer, (popularity, assignment) in enumerate(pairs)
             if sum(popularity.rates) > 0
         )
 
     def stragglers(self, now: Millis) -> tuple[Straggler, ...]:
-        """Return the ranks that are slow as such."""
+        """Return the ranks that are slow by themselves."""
         return find_stragglers(self.paces, now)
 
 
 def new_group_popularity(time_constant: Millis) -> GroupPopularity:
-    """Return the popularity of a group that has not reported yet."""
+    """Return the initial state of a group without reports."""
     return GroupPopularity(time_constant)
 
 
@@ -137,26 +144,31 @@
     return bool(before) and shape(before) == shape(after)
 
 
-def _group_counts(
+def _token_growth(
     before: tuple[RankReport, ...], after: tuple[RankReport, ...]
 ) -> list[list[int]]:
     """Return the tokens of all ranks since the last reports, by layer and expert."""
     counts = []
     for layer in range(len(after[0].tokens)):
-        grown = [
-            _grown(old.tokens[layer], new.tokens[layer])
+        growth_by_rank = [
+            _counter_growth(old.tokens[layer], new.tokens[layer])
             for old, new in zip(before, after, strict=True)
         ]
-        counts.append([sum(of_expert) for of_expert in zip(*grown, strict=True)])
+        counts.append(
+            [
+                sum(expert_growths)
+                for expert_growths in zip(*growth_by_rank, strict=True)
+            ]
+        )
     return counts
 
 
-def _grown(before, after) -> list:
-    """Return by how much counts have grown; those that fell began again at zero.
+def _counter_growth(before, after) -> list:
+    """Return the growth of counters; one that decreased was reset to zero.
 
     Examples
     --------
-    >>> _grown([5, 100], [7, 3])
+    >>> _counter_growth([5, 100], [7, 3])
     [2, 3]
     """
     pairs = zip(before, after, strict=True)
--- a/src/azurefold/core/groups/resumed_change.py
+++ b/src/azurefold/core/groups/resumed_change.py
@@ -1,4 +1,4 @@
-"""What a coordinator may do with a change that another one has left behind."""
+"""Resumption of a change that another coordinator left unfinished."""
 
 from azurefold.core.clock import Millis
 from azurefold.core.groups.map_change import MapChange
@@ -8,55 +8,59 @@
 
 
 def can_resume(views: list[RankView]) -> bool:
-    """Whether a hold that another coordinator placed may be taken up now.
+    """Whether a change with a hold placed by another coordinator can be resumed now.
 
-    With no rank armed there is only a hold to release. What goes wrong if that is
-    done while the pass is still ahead: the other coordinator stood still between
-    the hold and its orders to arm, wakes, and arms the ranks one after the other
-    while the group runs towards that pass with nothing to stop it; two ranks run
-    the pass under two maps. Once the group waits for the pass, its release begins
-    it, and ranks refuse to be armed for it. A group that is not there yet loses
-    nothing by the wait.
+    If any rank is armed, it can. If none is, the hold can only be released, and only
+    once the group waits at the held pass: the release then starts the pass, and ranks
+    refuse to be armed for it. An earlier release is unsafe. The other coordinator may
+    have been paused between its orders to hold and to arm. When it continues, it arms
+    the ranks one after the other while nothing stops the group before that pass, and
+    two ranks run the pass under two maps. Waiting costs nothing as long as the group
+    has not reached the pass.
 
     Parameters
     ----------
     views : list of RankView
-        Of all ranks of the group, in one epoch.
+        Reports of all ranks of the group, in one epoch.
     """
-    held = [view.held for view in views if view.held is not None]
-    if not held:
+    held_steps = [view.held for view in views if view.held is not None]
+    if not held_steps:
         return False
     if any(view.armed is not None for view in views):
         return True
-    return max(view.step for view in views) >= max(held) - 1
+    return max(view.step for view in views) >= max(held_steps) - 1
 
 
 def resume_change(
     views: list[RankView], policy: ChangePolicy, now: Millis
 ) -> tuple[MapChange, list[ChangeAction]] | None:
-    """Take up what another coordinator has left behind.
+    """Resume a change that another coordinator left unfinished.
 
-    What goes wrong without: a coordinator dies while it holds the group, and no
-    pass begins any more. Seen as a group that is whole and silent.
+    Without this, the group starts no further pass after a coordinator died while the
+    group was held: all ranks are up, but they produce no output.
 
     Parameters
     ----------
     views : list of RankView
-        Of all ranks of the group, in one epoch.
+        Reports of all ranks of the group, in one epoch.
     policy : ChangePolicy
+        Timeouts and retry limits.
     now : int
+        Current time, in milliseconds.
 
     Returns
     -------
     tuple or None
-        A change that is arming where any rank is armed, else one that only
-        releases; None if no rank holds the group.
+        The change and its first actions, None if no rank holds the group. The change
+        arms all ranks if any rank is armed, else it only releases the hold.
     """
-    held = [view for view in views if view.held is not None]
-    if not held:
+    holding_views = [view for view in views if view.held is not None]
+    if not holding_views:
         return None
-    step = max(view.held for view in held)
-    versions = {view.armed for view in views if view.armed is not None}
-    change = MapChange(max(versions, default=0), views[0].epoch, len(views), policy)
-    holding_ranks = [view.rank for view in held]
-    return change, change.resume(step, holding_ranks, now, arm=bool(versions))
+    step = max(view.held for view in holding_views)
+    armed_versions = {view.armed for view in views if view.armed is not None}
+    change = MapChange(
+        max(armed_versions, default=0), views[0].epoch, len(views), policy
+    )
+    holding_ranks = [view.rank for view in holding_views]
+    return change, change.resume(step, holding_ranks, now, arm=bool(armed_versions))
--- a/src/azurefold/core/groups/sampled_popularity.py
+++ b/src/azurefold/core/groups/sampled_popularity.py
@@ -1,4 +1,4 @@
-"""Popularity of experts from the counts of a few ranks."""
+"""Popularity of experts, estimated from the counts of a few ranks."""
 
 from dataclasses import dataclass, field
 from math import exp
@@ -7,15 +7,15 @@
 
 __all__ = ["CountSample", "SampledPopularity"]
 
-_USUAL_NOISE = 0.12
-"""Total variation between two ranks' counts of half a second and those of all ranks,
-while popularity stayed."""
+_INITIAL_NOISE = 0.12
+"""Total variation between the counts of two ranks and of all ranks over half a second,
+while the popularity did not change."""
 
 _NOISE_SMOOTHING = 0.2
-_JUMP_OVER_NOISE = 1.7
-_LEAST_JUMP = 0.2
-"""A jump moved popularity by 0.3 to 0.6, half seconds without one by 0.05 to 0.13. A
-map planned for a popularity that is off by 0.2 has a skew of about 1.4."""
+_JUMP_TO_NOISE_RATIO = 1.7
+_MIN_JUMP = 0.2
+"""Minimum total variation of a jump. Jumps have 0.3 to 0.6; half seconds without a jump
+have 0.05 to 0.13. A map planned for a popularity off by 0.2 has a skew of about 1.4."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,10 +25,12 @@
     Parameters
     ----------
     endpoint : str
-        Ranks of several groups are sampled, so their numbers name none of them.
+        Endpoint of the rank. Ranks of several groups are sampled, so rank numbers are
+        not unique.
     epoch : int
+        Epoch of the group.
     counts : tuple of tuple of int, shape (n_layers, n_experts)
-        How often the rank's requests chose each expert.
+        How often requests of the rank were routed to each expert.
     """
 
     endpoint: str
@@ -38,24 +40,26 @@
 
 @dataclass(slots=True)
 class SampledPopularity:
-    """Popularity of the experts of each layer, from the growth of ranks' counts.
+    """Popularity of the experts of each layer, from the growth of the ranks' counts.
 
-    Popularity stays nearly still for some seconds and then jumps. While it stays, all
-    growth since the last jump is added up, so that few ranks' counts tell it more and
-    more exactly; a mean that forgets at a steady rate is noise at first and lags for
-    a second after each jump. Growth in which a jump falls tells of before and after
-    alike, and is no popularity to plan for: another sample is wanted soon.
+    Popularity is nearly constant for some seconds and then jumps. While it is constant,
+    all growth since the last jump is summed, so the estimate from a few ranks becomes
+    more and more exact. A moving average with a constant decay would be noisy at first
+    and would lag for a second after each jump. Growth that spans a jump mixes the
+    popularity before and after it and must not be used to plan a map; another sample
+    should follow soon.
 
     Parameters
     ----------
     time_constant : int
-        Milliseconds after which growth weighs 1/e, for slow drift.
+        Time after which old growth has decayed to 1/e, in milliseconds, so that the
+        estimate follows slow drift.
     layers : tuple of tuple of float
-        Growth of each expert's counts by layer, added up; empty before the first.
+        Summed growth of each expert's counts, by layer; empty before the first growth.
     usable_rounds : int
-        Rounds that were taken in and may be planned for.
+        Number of rounds after which the popularity could be used for planning.
     is_unsettled : bool
-        Whether the last growth may be of before and after a jump.
+        Whether the last growth may span a jump.
     last_distance : float
         Total variation between the last growth and the popularity before it.
     """
@@ -65,103 +69,113 @@
     usable_rounds: int = 0
     is_unsettled: bool = False
     last_distance: float = 0.0
-    _noise: float = _USUAL_NOISE
-    _last: dict[str, CountSample] = field(default_factory=dict)
+    _noise: float = _INITIAL_NOISE
+    _last_samples: dict[str, CountSample] = field(default_factory=dict)
     _sampled_at: Millis = 0
 
     @property
     def noise(self) -> float:
-        """Total variation between two samples while popularity stays."""
+        """Estimated total variation between two samples without a jump."""
         return self._noise
 
     @property
     def rates(self) -> tuple[tuple[float, ...], ...]:
-        """Popularity of each expert beside the others, by layer."""
+        """Popularity of each expert relative to the others, by layer."""
         return self.layers
 
     def add_counts(self, samples: list[CountSample], now: Millis) -> bool:
-        """Take in one round of counts; return whether it may be planned for.
+        """Add one round of counts; return whether the result is usable for planning.
 
-        Ranks that were not asked last time, or began again, only give a base.
+        Counts of a rank without a previous sample, or from a restarted rank, only
+        serve as the base for the next growth.
         """
-        grown = [g for sample in samples if (g := self._growth(sample)) is not None]
+        growths = [
+            rank_growth
+            for sample in samples
+            if (rank_growth := self._growth(sample)) is not None
+        ]
         for sample in samples:
-            self._last[sample.endpoint] = sample
-        span = now - self._sampled_at
+            self._last_samples[sample.endpoint] = sample
+        elapsed = now - self._sampled_at
         self._sampled_at = now
-        if not grown or not any(map(any, grown[0])):
+        if not growths or not any(map(any, growths[0])):
             return False
-        summed = tuple(
-            tuple(float(sum(of_expert)) for of_expert in zip(*layers, strict=True))
-            for layers in zip(*grown, strict=True)
+        growth = tuple(
+            tuple(
+                float(sum(expert_growths))
+                for expert_growths in zip(*layers, strict=True)
+            )
+            for layers in zip(*growths, strict=True)
         )
-        if not self._settles(summed, span):
+        if not self._add_growth(growth, elapsed):
             return False
         self.usable_rounds += 1
         return True
 
     def discard_endpoint(self, endpoint: str) -> None:
-        """Forget the counts of an endpoint that has started again or is gone."""
-        self._last.pop(endpoint, None)
+        """Discard the counts of an endpoint that has restarted or was removed."""
+        self._last_samples.pop(endpoint, None)
 
     def restore(self, rates: list[list[int]]) -> None:
-        """Begin with a popularity that another coordinator has seen."""
+        """Start from a popularity that another coordinator has stored."""
         self.layers = tuple(tuple(map(float, layer)) for layer in rates)
 
-    def _settles(self, summed: tuple[tuple[float, ...], ...], span: Millis) -> bool:
-        """Add growth up, or begin anew with it; return if no jump falls in it."""
-        distance = _distance(self.layers, summed) if self.layers else 0.0
+    def _add_growth(
+        self, growth: tuple[tuple[float, ...], ...], elapsed: Millis
+    ) -> bool:
+        """Add growth or restart the sum with it; return whether it spans no jump."""
+        distance = _total_variation(self.layers, growth) if self.layers else 0.0
         self.last_distance = distance
-        jumped = distance > max(_LEAST_JUMP, _JUMP_OVER_NOISE * self._noise)
+        has_jumped = distance > max(_MIN_JUMP, _JUMP_TO_NOISE_RATIO * self._noise)
         if self.usable_rounds == 0:
-            # What another coordinator saw is of long ago: there is no jump in this
-            # growth to wait for the end of.
+            # The stored popularity of another coordinator is old. A difference to it
+            # does not mean that this growth spans a jump.
             self.layers = ()
-            jumped = False
-        if jumped and not self.is_unsettled:
-            self.layers = summed
+            has_jumped = False
+        if has_jumped and not self.is_unsettled:
+            self.layers = growth
             self.is_unsettled = True
             return False
-        if jumped or self.is_unsettled or not self.layers:
-            self.layers = summed
+        if has_jumped or self.is_unsettled or not self.layers:
+            self.layers = growth
         else:
             self._noise += _NOISE_SMOOTHING * (distance - self._noise)
-            kept = exp(-span / self.time_constant)
+            decay = exp(-elapsed / self.time_constant)
             self.layers = tuple(
-                tuple(kept * old + new for old, new in zip(before, grown, strict=True))
-                for before, grown in zip(self.layers, summed, strict=True)
+                tuple(decay * old + new for old, new in zip(before, added, strict=True))
+                for before, added in zip(self.layers, growth, strict=True)
             )
         self.is_unsettled = False
         return True
 
     def _growth(self, sample: CountSample) -> tuple[tuple[int, ...], ...] | None:
-        last = self._last.get(sample.endpoint)
-        if last is None or last.epoch != sample.epoch:
+        previous = self._last_samples.get(sample.endpoint)
+        if previous is None or previous.epoch != sample.epoch:
             return None
-        grown = tuple(
+        growth = tuple(
             tuple(new - old for new, old in zip(new_layer, old_layer, strict=True))
-            for new_layer, old_layer in zip(sample.counts, last.counts, strict=True)
+            for new_layer, old_layer in zip(sample.counts, previous.counts, strict=True)
         )
-        if any(min(layer) < 0 for layer in grown):
+        if any(min(layer) < 0 for layer in growth):
             return None
-        return grown
+        return growth
 
 
-def _distance(
-    known: tuple[tuple[float, ...], ...], grown: tuple[tuple[float, ...], ...]
+def _total_variation(
+    known: tuple[tuple[float, ...], ...], growth: tuple[tuple[float, ...], ...]
 ) -> float:
     """Return the mean total variation between the layers of two popularities.
 
     Examples
     --------
-    >>> _distance(((1.0, 1.0),), ((4.0, 0.0),))
+    >>> _total_variation(((1.0, 1.0),), ((4.0, 0.0),))
     0.5
     """
-    distances = []
-    for before, now in zip(known, grown, strict=True):
-        parts = zip(_shares(before), _shares(now), strict=True)
-        distances.append(sum(abs(a - b) for a, b in parts) / 2)
-    return sum(distances) / len(distances)
+    layer_distances = []
+    for before, after in zip(known, growth, strict=True):
+        share_pairs = zip(_shares(before), _shares(after), strict=True)
+        layer_distances.append(sum(abs(a - b) for a, b in share_pairs) / 2)
+    return sum(layer_distances) / len(layer_distances)
 
 
 def _shares(counts: tuple[float, ...]) -> list[float]:
--- a/tests/core/groups/world.py
+++ b/tests/core/groups/simulated_group.py
@@ -1,4 +1,4 @@
-"""A group, its agents and coordinators over a network that the test controls."""
+"""Simulation of a group, its agents and coordinators on a controllable network."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -22,19 +22,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kinds:
-    """The classes under test; mutants put their own in."""
+class Implementations:
+    """The classes under test; mutants replace them."""
 
     agent: type[RankAgent] = RankAgent
     coordinator: type[Coordinator] = Coordinator
 
 
 @dataclass(slots=True)
-class World:
-    """Everything between the ranks; nothing moves unless told."""
+class SimulatedGroup:
+    """A group with its agents, coordinators and network; all events are explicit."""
 
     group: LockstepGroup
-    kinds: Kinds
+    implementations: Implementations
     agents: list[RankAgent] = field(default_factory=list)
     coordinators: dict[int, Coordinator] = field(default_factory=dict)
     paused: set[int] = field(default_factory=set)
@@ -42,9 +42,9 @@
     now: int = 0
     fence: int = 0
 
-    def take_over(self) -> None:
+    def start_coordinator(self) -> None:
         self.fence += 1
-        coordinator = self.kinds.coordinator(
+        coordinator = self.implementations.coordinator(
             self.fence, self.group.size, "m0", TIMING, LeadTimePolicy()
         )
         self.coordinators[self.fence] = coordinator
@@ -54,13 +54,13 @@
         self.coordinators.clear()
         self.paused.clear()
 
-    def pause(self) -> None:
+    def pause_coordinator(self) -> None:
         self.paused.add(self.fence)
 
-    def resume(self) -> None:
+    def resume_coordinators(self) -> None:
         self.paused.clear()
 
-    def change(self, map_id: str) -> None:
+    def start_change(self, map_id: str) -> None:
         coordinator = self.coordinators.get(self.fence)
         if coordinator is None or self.fence in self.paused:
             return
@@ -70,62 +70,62 @@
             return
 
     def restart_agent(self, rank: int) -> None:
-        self.agents[rank] = self.kinds.agent(rank, self.group.size, TIMING)
+        self.agents[rank] = self.implementations.agent(rank, self.group.size, TIMING)
         self._perform(rank, self.agents[rank].start())
 
     def replace_rank(self, rank: int) -> None:
         self.group.replace(rank)
         self.restart_agent(rank)
 
-    def tick(self, by: int) -> None:
-        self.now += by
+    def tick(self, elapsed: int) -> None:
+        self.now += elapsed
         for fence, coordinator in self.coordinators.items():
             if fence not in self.paused:
                 self.network += coordinator.tick(self.now)
         for rank, agent in enumerate(self.agents):
             self._perform(rank, agent.tick(self.now))
 
-    def deliver(self, index: int) -> None:
+    def deliver_message(self, index: int) -> None:
         """Deliver one message out of order."""
         if self.network:
-            envelope = self.network.pop(index % len(self.network))
-            self._hand_over(envelope)
+            send = self.network.pop(index % len(self.network))
+            self._handle(send)
 
-    def crash_on(self, index: int) -> None:
-        """Deliver one message; the agent dies when its engine has obeyed."""
+    def deliver_and_crash_agent(self, index: int) -> None:
+        """Deliver one message; the agent crashes after its engine has replied."""
         if self.network:
-            envelope = self.network.pop(index % len(self.network))
-            self._hand_over(envelope, crash=True)
+            send = self.network.pop(index % len(self.network))
+            self._handle(send, crash=True)
 
-    def duplicate(self, index: int) -> None:
+    def duplicate_message(self, index: int) -> None:
         if self.network:
             self.network.append(self.network[index % len(self.network)])
 
-    def drop(self, index: int) -> None:
+    def drop_message(self, index: int) -> None:
         if self.network:
             self.network.pop(index % len(self.network))
 
     def deliver_all(self, rounds: int = 1, *, skip: Iterable[int] = ()) -> None:
-        """Deliver what is under way, except to the ranks in ``skip``."""
+        """Deliver all messages in transit, except to the ranks in ``skip``."""
         for _ in range(rounds):
-            under_way, self.network = self.network, []
-            for envelope in under_way:
-                if isinstance(envelope, SendToRank) and envelope.rank in skip:
-                    self.network.append(envelope)
+            in_transit, self.network = self.network, []
+            for send in in_transit:
+                if isinstance(send, SendToRank) and send.rank in skip:
+                    self.network.append(send)
                 else:
-                    self._hand_over(envelope)
+                    self._handle(send)
 
     def run(self, duration: int) -> None:
-        """Let time pass on a sound network, at the usual pace."""
+        """Run the group for ``duration`` ms on a network without faults."""
         for _ in range(duration // STEP_TIME):
             self.tick(STEP_TIME)
             self.deliver_all(2)
             self.group.advance(1)
 
-    def settle(self) -> None:
-        """Let a fresh coordinator bring a sound group to rest."""
+    def restart_coordinator_until_idle(self) -> None:
+        """Start a new coordinator and run the group until the coordinator is idle."""
         self.kill_coordinators()
-        self.take_over()
+        self.start_coordinator()
         self.deliver_all(2)
         for _ in range(40):
             if self.is_idle():
@@ -136,22 +136,22 @@
         coordinator = self.coordinators.get(self.fence)
         return coordinator is not None and isinstance(coordinator.phase, Idle)
 
-    def check(self) -> None:
-        torn = [record for record in self.group.history if not record.agrees()]
-        assert not torn, f"ranks used different maps: {torn[0]}"
+    def check_maps_agree(self) -> None:
+        disagreements = [record for record in self.group.history if not record.agrees()]
+        assert not disagreements, f"ranks used different maps: {disagreements[0]}"
 
-    def _hand_over(
-        self, envelope: SendToRank | SendToCoordinator, *, crash: bool = False
+    def _handle(
+        self, send: SendToRank | SendToCoordinator, *, crash: bool = False
     ) -> None:
-        if isinstance(envelope, SendToRank):
-            agent = self.agents[envelope.rank]
-            actions = agent.receive(envelope.message, self.now)
-            self._perform(envelope.rank, actions, crash=crash)
-        elif envelope.fence in self.paused:
-            self.network.append(envelope)
-        elif envelope.fence in self.coordinators:
-            coordinator = self.coordinators[envelope.fence]
-            self.network += coordinator.receive(envelope.message, self.now)
+        if isinstance(send, SendToRank):
+            agent = self.agents[send.rank]
+            actions = agent.receive(send.message, self.now)
+            self._perform(send.rank, actions, crash=crash)
+        elif send.fence in self.paused:
+            self.network.append(send)
+        elif send.fence in self.coordinators:
+            coordinator = self.coordinators[send.fence]
+            self.network += coordinator.receive(send.message, self.now)
 
     def _perform(
         self, rank: int, actions: list[Action], *, crash: bool = False
@@ -167,17 +167,21 @@
             self._perform(rank, self.agents[rank].receive_engine_reply(reply, self.now))
 
 
-def make_world(
-    size: int = 3, *, honours_fence: bool = True, kinds: Kinds | None = None
-) -> World:
-    """Return a running group with one coordinator that is idle."""
+def make_simulated_group(
+    size: int = 3,
+    *,
+    honours_fence: bool = True,
+    implementations: Implementations | None = None,
+) -> SimulatedGroup:
+    """Return a running group with one idle coordinator."""
     group = lockstep_group(size, honours_fence=honours_fence)
-    world = World(group, kinds or Kinds())
-    world.agents = [
-        world.kinds.agent(rank, group.size, TIMING) for rank in range(group.size)
+    simulation = SimulatedGroup(group, implementations or Implementations())
+    simulation.agents = [
+        simulation.implementations.agent(rank, group.size, TIMING)
+        for rank in range(group.size)
     ]
     for rank in range(group.size):
-        world.restart_agent(rank)
-    world.take_over()
-    world.deliver_all(2)
-    return world
+        simulation.restart_agent(rank)
+    simulation.start_coordinator()
+    simulation.deliver_all(2)
+    return simulation
--- a/tests/core/groups/test_group_messages.py
+++ b/tests/core/groups/test_group_messages.py
@@ -1,4 +1,4 @@
-"""Every message of the protocol survives the codec that carries it."""
+"""Messages of the protocol are unchanged by the codec, and order numbers increase."""
 
 import msgspec
 import pytest
@@ -22,18 +22,20 @@
 ]
 
 
-@pytest.mark.parametrize("message", MESSAGES, ids=lambda each: type(each).__name__)
-def test_a_message_is_the_same_after_encoding(message):
+@pytest.mark.parametrize(
+    "message", MESSAGES, ids=lambda message: type(message).__name__
+)
+def test_a_message_is_unchanged_after_encoding_and_decoding(message):
     kind = MESSAGE_TYPES[type(message).__name__]
     payload = msgspec.msgpack.encode(message)
     assert msgspec.msgpack.decode(payload, type=kind) == message
 
 
-def test_order_numbers_rise_with_the_fence_whatever_the_serial():
+def test_order_numbers_increase_with_the_fence_for_any_serial():
     assert order_number(2, 0) > order_number(1, 2**20 - 1)
     assert fence_of(order_number(1, 2**20 - 1)) == 1
 
 
-def test_a_serial_out_of_range_says_what_to_do():
-    with pytest.raises(ValueError, match="take the lease anew"):
+def test_the_error_for_a_serial_out_of_range_suggests_a_new_fence():
+    with pytest.raises(ValueError, match="renew the lease under a new fence"):
         order_number(1, 2**20)
--- a/tests/core/groups/test_changes_are_quick.py
+++ b/tests/core/groups/test_map_change_timing.py
@@ -1,4 +1,4 @@
-"""A map is in force as soon as its weights are loaded; a hold stands for moments."""
+"""A map takes effect as soon as its weights are loaded, and holds are short."""
 
 import pytest
 
@@ -19,8 +19,8 @@
 SIZE = 3
 
 
-def begun_change(group, load_ms):
-    """Return a change whose ranks have all taken the order to prepare."""
+def start_prepared_change(group, load_ms):
+    """Return a change in which all ranks have accepted the order to prepare."""
     change = MapChange(1, epoch=1, size=group.size)
     change.record_pass_start(group.step, now=0)
     for action in change.start(50.0, now=0, load_ms=load_ms):
@@ -30,22 +30,23 @@
 
 
 def test_the_pass_is_chosen_while_ranks_still_load():
-    """A map is in force a second after popularity has jumped, for half of its life.
+    """Guards against maps that take effect a second after a popularity jump.
 
-    Ranks report that they have loaded a map 0.2 s late, and only then was a pass
-    chosen, which lay 0.36 s ahead. How long loading takes follows from its size.
+    That was half of the time for which a map is useful. The pass, 0.36 s ahead, was
+    chosen only after the reports of the ranks, which arrive 0.2 s after loading. The
+    load time can be computed from the size of the weights instead.
     """
     group = ModelGroup(SIZE)
-    change = begun_change(group, load_ms=300)
+    change = start_prepared_change(group, load_ms=300)
     lead = change.policy.lead_time
     assert change.tick(300 - lead - 50) == []
     [hold] = change.tick(305 - lead)
     assert hold.order.step == group.step + -(-305 // 50)
 
 
-def test_ranks_are_armed_when_they_should_have_loaded():
+def test_ranks_are_armed_after_the_expected_load_time():
     group = ModelGroup(SIZE)
-    change = begun_change(group, load_ms=300)
+    change = start_prepared_change(group, load_ms=300)
     [hold] = change.tick(290)
     assert change.on_verdict(hold.rank, hold.order, Verdict.ACCEPTED, now=295) == []
     assert change.tick(300) == []
@@ -53,50 +54,53 @@
     assert [type(action.order) for action in arms] == [Arm] * SIZE
 
 
-def test_a_rank_that_loads_a_little_longer_is_armed_a_little_later():
-    """Weights are loaded for nothing, and the map stays a bad one.
+def test_a_rank_that_loads_slightly_longer_is_armed_on_retry():
+    """Guards against a rollback because of one slightly slower rank.
 
-    One rank needed 30 ms longer than its link's speed let expect, refused to be
-    armed, and the whole change was taken back.
+    The rank needed 30 ms longer than computed from the speed of its link and refused
+    to be armed. After the rollback the weights had been loaded for nothing, and the
+    unsuitable map stayed in use.
     """
     group = ModelGroup(SIZE)
     group.ranks[1].is_slow = True
-    change = begun_change(group, load_ms=300)
+    change = start_prepared_change(group, load_ms=300)
     [hold] = change.tick(290)
     change.on_verdict(hold.rank, hold.order, Verdict.ACCEPTED, now=295)
     for action in change.tick(305):
         verdict = group.ranks[action.rank].take(action.order, group.step)
         change.on_verdict(action.rank, action.order, verdict, now=306)
     group.ranks[1].loaded()
-    [again] = change.tick(340)
-    assert (again.rank, type(again.order)) == (1, Arm)
-    [release] = change.on_verdict(1, again.order, Verdict.ACCEPTED, now=342)
+    [retry] = change.tick(340)
+    assert (retry.rank, type(retry.order)) == (1, Arm)
+    [release] = change.on_verdict(1, retry.order, Verdict.ACCEPTED, now=342)
     assert release.order == Release(hold.order.step)
 
 
-def test_a_rank_that_loads_for_much_longer_has_the_change_taken_back():
-    """Two ranks run one pass under two maps.
+def test_a_change_is_rolled_back_if_a_rank_loads_too_long():
+    """Guards against two ranks that run one pass under two maps.
 
-    The group was held for a rank that went on loading. Another coordinator saw a
-    hold and no rank armed for long enough, and released it just as the first one
-    had the other ranks armed.
+    The group was held while a rank was still loading. Another coordinator saw a hold
+    without armed ranks for its whole timeout and released it at the moment when the
+    first coordinator armed the other ranks.
     """
     group = ModelGroup(SIZE)
     for rank in group.ranks:
         rank.is_slow = True
-    change = begun_change(group, load_ms=300)
+    change = start_prepared_change(group, load_ms=300)
     [hold] = change.tick(290)
     change.on_verdict(hold.rank, hold.order, Verdict.ACCEPTED, now=295)
-    late = 295 + change.policy.arm_timeout
-    refused = [
-        each
-        for arm in change.tick(late)
-        for each in change.on_verdict(arm.rank, arm.order, Verdict.REFUSED, now=late)
+    timeout_at = 295 + change.policy.arm_timeout
+    actions_after_refusal = [
+        action
+        for arm in change.tick(timeout_at)
+        for action in change.on_verdict(
+            arm.rank, arm.order, Verdict.REFUSED, now=timeout_at
+        )
     ]
-    assert {type(action.order) for action in refused[:SIZE]} == {Disarm}
+    assert {type(action.order) for action in actions_after_refusal[:SIZE]} == {Disarm}
 
 
-def test_a_lost_order_to_prepare_is_found_out_by_reports():
+def test_reports_are_requested_after_a_lost_prepare_order():
     group = ModelGroup(SIZE)
     change = MapChange(1, epoch=1, size=SIZE)
     change.record_pass_start(group.step, now=0)
@@ -104,13 +108,13 @@
         verdict = Verdict.LOST if action.rank == 2 else Verdict.ACCEPTED
         change.on_verdict(action.rank, action.order, verdict, now=5)
     actions = change.tick(200)
-    assert not any(getattr(each, "order", None) == Hold for each in actions)
+    assert not any(getattr(action, "order", None) == Hold for action in actions)
     assert any(isinstance(action, RequestReport) for action in actions)
 
 
 @pytest.mark.parametrize("size", [32, 192, 384])
-def test_a_lost_order_to_prepare_is_repeated_as_soon_as_an_answer_is_overdue(size):
-    """Guards against maps that wait most of a second for one rank's lost answer."""
+def test_a_lost_prepare_order_is_resent_after_the_answer_timeout(size):
+    """Guards against a delay of most of a second after one lost answer."""
     answering_ms, load_ms = 40, 100
     policy = make_change_policy(size, answering_ms=answering_ms)
     change = MapChange(1, epoch=1, size=size, policy=policy)
@@ -120,18 +124,18 @@
         verdict = Verdict.LOST if is_lost else Verdict.ACCEPTED
         now = lost_at if is_lost else answering_ms
         change.on_verdict(action.rank, action.order, verdict, now)
-    repeats = [
+    retries = [
         action for action in change.tick(lost_at) if isinstance(action, SendOrder)
     ]
-    assert [(action.rank, action.order) for action in repeats] == [(0, Prepare(1))]
-    # Refused, as the first order was carried out.
+    assert [(action.rank, action.order) for action in retries] == [(0, Prepare(1))]
+    # Refused because the first order was carried out.
     change.on_verdict(0, Prepare(1), Verdict.REFUSED, now=lost_at + 5)
     change.tick(lost_at + 5 + load_ms)
     assert change.phase == "holding"
     assert lost_at + 5 <= 5 * answering_ms
 
 
-def test_a_rank_that_refuses_the_first_order_to_prepare_is_not_taken_to_load():
+def test_a_rank_that_refuses_its_first_prepare_order_is_not_loading():
     change = MapChange(1, epoch=1, size=SIZE)
     for action in change.start(50.0, now=0, load_ms=100):
         verdict = Verdict.REFUSED if action.rank == 2 else Verdict.ACCEPTED
@@ -140,11 +144,12 @@
     assert change.phase == "preparing"
 
 
-def test_a_group_without_requests_is_not_armed_for_a_pass_far_away():
-    """A group's map is never changed again, and half of all streams are late.
+def test_an_idle_group_is_not_armed_for_a_distant_pass():
+    """Guards against a group whose map never changes again.
 
-    The last pass that was known lay minutes back. By the usual length of a pass
-    thousands would have begun since, and the group was armed for the next of them.
+    The last known pass was minutes old. Extrapolated with the usual pass time,
+    thousands of passes would have started since, and the group was armed for the next
+    of them. Half of all streams were delayed by the outdated map.
     """
     change = MapChange(1, epoch=1, size=1)
     change.start(50.0, now=100_000, load_ms=0)
