--- a/src/azurefold/core/groups/agent.py
+++ b/src/azurefold/core/groups/agent.py
@@ -128,7 +128,7 @@
 
     def _on_close(self, close: msg.Close) -> list[Action]:
         closed = self._closed_change
-        if closed is not None and closed.number == close.number and closed.may_open:
+        if closed is not None and closed.number == close.number and closed.can_open:
             return [self._close_agreed(close)]
         is_superseded = self._is_superseded(close.number)
         reason = close_refusal_reason(close, is_superseded, closed, self._engine)
@@ -157,14 +157,14 @@
             return [
                 SendToCoordinator(fence_of(order.number), self._decided_message(entry))
             ]
-        if not self._may_open(order):
+        if not self._can_open(order):
             refusal = msg.OpenRefused(order.number, self._rank)
             return [SendToCoordinator(fence_of(order.number), refusal)]
         return self._order_engine(
             UseFrom(order.step, order.map_id, order.number), order
         )
 
-    def _may_open(self, order: msg.Open) -> bool:
+    def _can_open(self, order: msg.Open) -> bool:
         closed = self._closed_change
         return closed is not None and closed.accepts_open(
             order, self._engine.incarnation
--- a/src/azurefold/core/groups/closed_change.py
+++ b/src/azurefold/core/groups/closed_change.py
@@ -17,7 +17,7 @@
     ----------
     number, step : int
         Number of the change, and the step that the rank does not start.
-    may_open : bool
+    can_open : bool
         Whether the coordinator's *open* is still accepted: this agent process agreed
         to the close and has promised nothing since.
     ask_peers_at : int
@@ -28,7 +28,7 @@
 
     number: int
     step: int
-    may_open: bool
+    can_open: bool
     ask_peers_at: Millis
     promises: dict[int, PlanEntry] = field(default_factory=dict)
 
@@ -40,7 +40,7 @@
         the replacement look as if it had agreed.
         """
         return (
-            self.may_open
+            self.can_open
             and self.number == order.number
             and self.step == order.step
             and incarnation == order.incarnation
--- a/src/azurefold/core/groups/leadership.py
+++ b/src/azurefold/core/groups/leadership.py
@@ -156,7 +156,7 @@
         """Whether a recent write confirmed that this node is the leader."""
         return now - self._confirmed_at < self.policy.confirmation_ttl
 
-    def may_start_change(
+    def can_start_change(
         self, reachable_peers: int, known_peers: int, now: Millis
     ) -> bool:
         """Whether this node may start a map change.
--- a/src/azurefold/core/groups/map_change.py
+++ b/src/azurefold/core/groups/map_change.py
@@ -338,14 +338,14 @@
         match verdict:
             case Verdict.ACCEPTED:
                 return self._confirm_armed(rank, now)
-            case Verdict.REFUSED if self._may_still_be_loading(now):
+            case Verdict.REFUSED if self._is_possibly_loading(now):
                 self._retry_at[rank] = now + self.policy.arm_retry_interval
                 return []
             case Verdict.REFUSED:
                 return self._roll_back(now)
         return [RequestReport(rank)]
 
-    def _may_still_be_loading(self, now: Millis) -> bool:
+    def _is_possibly_loading(self, now: Millis) -> bool:
         """Whether a rank that refuses to be armed may still be loading.
 
         True for a short time only. A coordinator that takes over while no rank is
--- a/src/azurefold/core/groups/termination.py
+++ b/src/azurefold/core/groups/termination.py
@@ -33,7 +33,7 @@
             # answers; only a coordinator that knows this incarnation can admit it.
             return []
         next_ask_at = now + self._timing.peer_query_interval
-        self._closed_change = replace(closed, may_open=False, ask_peers_at=next_ask_at)
+        self._closed_change = replace(closed, can_open=False, ask_peers_at=next_ask_at)
         return self._reopen_if_all_promised() or [
             SendToRank(peer, msg.Ask(closed.number, closed.step, self._rank))
             for peer in range(self._size)
@@ -48,7 +48,7 @@
         if not engine.plan:
             return []
         if closed is not None and closed.number == ask.number:
-            self._closed_change = replace(closed, may_open=False)
+            self._closed_change = replace(closed, can_open=False)
             return [self._promise_to(ask)]
         if engine.highest_number > ask.number:
             return [self._promise_to(ask)]
@@ -70,7 +70,7 @@
 
     def _on_promised(self, promise: msg.Promised) -> list[Action]:
         closed = self._closed_change
-        if closed is None or closed.number != promise.number or closed.may_open:
+        if closed is None or closed.number != promise.number or closed.can_open:
             return []
         promises = {**closed.promises, promise.rank: promise.tail}
         self._closed_change = replace(closed, promises=promises)
--- a/src/azurefold/gateway/groups/coordinator.py
+++ b/src/azurefold/gateway/groups/coordinator.py
@@ -183,7 +183,7 @@
             # Another node holds the row: its term is not ours to give up.
             return None
         heard, peers = self.peers_heard()
-        if not self.leadership.may_start_change(heard, peers, self.state.clock.now()):
+        if not self.leadership.can_start_change(heard, peers, self.state.clock.now()):
             self.resign_when_idle()
             return None
         self._serial += 1
--- a/tests/core/groups/test_leadership.py
+++ b/tests/core/groups/test_leadership.py
@@ -48,8 +48,8 @@
     """
     leadership = Leadership("n1")
     leadership.on_row_acquired(3, asked_at=1_000)
-    assert leadership.may_start_change(reachable_peers=0, known_peers=8, now=1_500)
-    assert not leadership.may_start_change(reachable_peers=3, known_peers=8, now=5_000)
+    assert leadership.can_start_change(reachable_peers=0, known_peers=8, now=1_500)
+    assert not leadership.can_start_change(reachable_peers=3, known_peers=8, now=5_000)
     assert leadership.policy.confirmation_ttl < leadership.policy.heartbeat_timeout
 
 
@@ -61,11 +61,11 @@
     """
     leadership = Leadership("n1")
     leadership.on_row_acquired(3, asked_at=1_000)
-    assert leadership.may_start_change(reachable_peers=8, known_peers=8, now=13_000)
+    assert leadership.can_start_change(reachable_peers=8, known_peers=8, now=13_000)
 
 
 def test_a_node_that_is_not_the_leader_starts_no_change(second_node):
-    assert not second_node.may_start_change(reachable_peers=8, known_peers=8, now=0)
+    assert not second_node.can_start_change(reachable_peers=8, known_peers=8, now=0)
 
 
 def test_a_lost_row_ends_the_term(second_node):
--- a/tests/core/groups/test_map_agreement.py
+++ b/tests/core/groups/test_map_agreement.py
@@ -40,7 +40,7 @@
     def _is_superseded(self, number):
         return False
 
-    def _may_open(self, order):
+    def _can_open(self, order):
         return True
 
 
--- a/tests/core/groups/test_termination_protocol.py
+++ b/tests/core/groups/test_termination_protocol.py
@@ -21,7 +21,7 @@
         actions = super()._restore_from_engine(now)
         if self._closed_change is not None:
             self._closed_change = replace(
-                self._closed_change, may_open=True, ask_peers_at=now + 1_000
+                self._closed_change, can_open=True, ask_peers_at=now + 1_000
             )
         return actions
 
