--- a/bench/balance_cpu.py
+++ b/bench/balance_cpu.py
@@ -64,5 +64,7 @@
 
 def _time(view: LayerView) -> float:
     started = time.process_time()
-    propose_layer(view, _POLICY, time_of_day=0, loads_left=_POLICY.max_weight_loads)
+    propose_layer(
+        view, _POLICY, time_of_day=0, weight_loads_left=_POLICY.max_weight_loads
+    )
     return (time.process_time() - started) * SECOND
--- a/src/azurefold/commands/report_history.py
+++ b/src/azurefold/commands/report_history.py
@@ -14,7 +14,7 @@
 from azurefold.border.findings import Finding, FindingsError, Place
 from azurefold.commands.report_readings import Reading
 from azurefold.core.clock import Millis
-from azurefold.core.objectives.objective import DEFAULT_PERIOD
+from azurefold.core.objectives.objective import DEFAULT_PERIOD_MS
 
 __all__ = ["load_history", "save_history", "thinned"]
 
@@ -75,7 +75,7 @@
     last_at: dict[str, Millis] = {}
     for reading in sorted(readings, key=lambda each: each.at):
         age = now - reading.at
-        if age > DEFAULT_PERIOD:
+        if age > DEFAULT_PERIOD_MS:
             continue
         last = last_at.get(reading.process)
         if last is None or reading.at - last >= age / _SPACING:
--- a/src/azurefold/core/balance/search.py
+++ b/src/azurefold/core/balance/search.py
@@ -94,7 +94,7 @@
 
 
 def propose_layer(
-    view: LayerView, policy: BalancePolicy, time_of_day: Millis, loads_left: int
+    view: LayerView, policy: BalancePolicy, time_of_day: Millis, weight_loads_left: int
 ) -> LayerProposal:
     """Decide on one layer.
 
@@ -109,7 +109,7 @@
         What the service asks for.
     time_of_day : int
         Milliseconds since midnight, local to the service.
-    loads_left : int
+    weight_loads_left : int
         Weight loads that may still be made in this interval.
     """
     state = build_layer_loads(view.assignment, view.rates, view.speeds)
@@ -118,7 +118,9 @@
         return LayerProposal(view, view.assignment, before, before, before, (), ())
     _split(state, policy.split)
     shared = state.excess
-    search = _Search(view, policy, move_factor(policy, time_of_day), loads_left, state)
+    search = _Search(
+        view, policy, move_factor(policy, time_of_day), weight_loads_left, state
+    )
     search.run()
     after = search.state.excess
     worth_a_map = before - shared > policy.min_reshare_gain or search.taken
@@ -174,7 +176,7 @@
     view: LayerView
     policy: BalancePolicy
     factor: float
-    loads_left: int
+    weight_loads_left: int
     state: LayerLoads
     taken: list[EvaluatedMove] = field(default_factory=list)
     not_taken: list[EvaluatedMove] = field(default_factory=list)
@@ -208,7 +210,9 @@
         if not taken:
             return False
         self.taken += [trial.judged for trial in taken]
-        self.loads_left -= sum(count_weight_loads(trial.judged.move) for trial in taken)
+        self.weight_loads_left -= sum(
+            count_weight_loads(trial.judged.move) for trial in taken
+        )
         self.state = taken[-1].state
         _split(self.state, self.policy.split)
         return True
@@ -274,7 +278,7 @@
             return MoveReason.GAIN_BELOW_COST
         if gain <= _cost(self.policy, loads, self.factor):
             return MoveReason.WINDOW_TOO_COSTLY
-        if loads > self.loads_left:
+        if loads > self.weight_loads_left:
             return MoveReason.LOAD_LIMIT_REACHED
         return MoveReason.GAIN_ABOVE_COST
 
--- a/src/azurefold/core/objectives/burn.py
+++ b/src/azurefold/core/objectives/burn.py
@@ -12,7 +12,7 @@
     WindowCounts,
 )
 from azurefold.core.objectives.objective import (
-    BURN_WINDOWS,
+    BURN_WINDOWS_MS,
     Objective,
     burn_rate,
     remaining_budget,
@@ -173,7 +173,7 @@
 
 
 def build_burn_report(
-    log: ObjectiveLog, now: Millis, windows: tuple[Millis, ...] = BURN_WINDOWS
+    log: ObjectiveLog, now: Millis, windows: tuple[Millis, ...] = BURN_WINDOWS_MS
 ) -> BurnReport:
     """Return the burn of one objective.
 
--- a/src/azurefold/core/objectives/objective.py
+++ b/src/azurefold/core/objectives/objective.py
@@ -7,8 +7,8 @@
 from azurefold.core.objectives.counts import RequestCounts
 
 __all__ = [
-    "BURN_WINDOWS",
-    "DEFAULT_PERIOD",
+    "BURN_WINDOWS_MS",
+    "DEFAULT_PERIOD_MS",
     "Objective",
     "ObjectiveKind",
     "remaining_budget",
@@ -20,8 +20,8 @@
 _HOUR: Millis = 60 * _MINUTE
 _DAY: Millis = 24 * _HOUR
 
-BURN_WINDOWS: tuple[Millis, ...] = (5 * _MINUTE, _HOUR, 6 * _HOUR, 3 * _DAY)
-DEFAULT_PERIOD: Millis = 30 * _DAY
+BURN_WINDOWS_MS: tuple[Millis, ...] = (5 * _MINUTE, _HOUR, 6 * _HOUR, 3 * _DAY)
+DEFAULT_PERIOD_MS: Millis = 30 * _DAY
 
 
 class ObjectiveKind(Enum):
@@ -51,7 +51,7 @@
     kind: ObjectiveKind
     target: float
     threshold: Millis | None = None
-    period: Millis = DEFAULT_PERIOD
+    period: Millis = DEFAULT_PERIOD_MS
 
     def __post_init__(self) -> None:
         """Refuse an objective whose budget cannot be reckoned.
--- a/tests/core/balance/test_stragglers_get_less_load.py
+++ b/tests/core/balance/test_stragglers_get_less_load.py
@@ -30,7 +30,7 @@
     """With three observations of a slow rank, it carries less than the others."""
     rates = (10.0,) * 16
     view = LayerView(0, rates, assign_evenly(pack_experts(rates, 4, 8)), known_speeds)
-    decided = propose_layer(view, BalancePolicy(1.0, 0.1), 0, loads_left=8)
+    decided = propose_layer(view, BalancePolicy(1.0, 0.1), 0, weight_loads_left=8)
     loads = decided.assignment.rank_loads(rates)
     assert loads[2] < 0.9 * min(loads[0], loads[1], loads[3])
 
