--- a/src/azurefold/core/balance/__init__.py
+++ b/src/azurefold/core/balance/__init__.py
@@ -1,1 +1,1 @@
-"""Where experts are placed, and when moving one pays."""
+"""Places experts on ranks and decides which moves are worth their cost."""
--- a/src/azurefold/core/balance/candidates.py
+++ b/src/azurefold/core/balance/candidates.py
@@ -1,4 +1,4 @@
-"""Which moves are worth trying: from the slowest ranks to the fastest."""
+"""Finds the moves that are worth evaluating, from the slowest to the fastest ranks."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -7,19 +7,21 @@
 from azurefold.core.balance.policy import ReplicaSplit
 from azurefold.core.balance.shares import LayerLoads
 
-__all__ = ["find_candidate_moves", "slow_count"]
+__all__ = ["count_slowest_ranks", "find_candidate_moves"]
 
-_SLOW_BAND = 0.003
-_FAST_RANKS = 4
-_HOT_EXPERTS = 6
-_EVICTIONS = 2
-_REPLICATIONS_TRIED = 3
-_SWAPS_TRIED = 2
+_SLOWEST_TOLERANCE = 0.003
+"""Ranks whose time is within this fraction of the slowest count as slowest too."""
+
+_MAX_FAST_RANKS = 4
+_MAX_HOT_EXPERTS = 6
+_MAX_EVICTIONS_PER_RANK = 2
+_MAX_REPLICATIONS = 3
+_MAX_SWAPS = 2
 
 
 @dataclass(frozen=True, slots=True)
-class _Scored:
-    """A move with the load that it is thought to take off the slow ranks."""
+class _ScoredMove:
+    """A move and an estimate of the load that it takes off the slowest ranks."""
 
     score: float
     move: Move
@@ -28,154 +30,174 @@
 def find_candidate_moves(
     state: LayerLoads, slots_per_rank: int, split: ReplicaSplit
 ) -> list[Move]:
-    """Return a few moves that may lower the slowest rank, most promising first.
+    """Return a few moves that may speed up the slowest rank, most promising first.
 
-    The estimates are rough and cheap; whoever asks tries each move properly.
+    The scores are rough estimates that are cheap to compute. The caller evaluates
+    each move exactly.
 
     Parameters
     ----------
     state : LayerLoads
-        Loads with the shares already split.
+        Loads after the shares have been split.
     slots_per_rank : int
-        Weights that one rank has room for.
+        Experts whose weights fit on one rank.
     split : ReplicaSplit
         How replicas share load.
     """
-    view = _view(state, slots_per_rank)
-    replications = _best(_replications(view), _REPLICATIONS_TRIED)
-    swaps = _best(_swaps(view), _SWAPS_TRIED)
-    found = _best(iter(replications + swaps), _REPLICATIONS_TRIED + _SWAPS_TRIED)
+    view = _build_rank_view(state, slots_per_rank)
+    replications = _select_best(_score_replications(view), _MAX_REPLICATIONS)
+    swaps = _select_best(_score_swaps(view), _MAX_SWAPS)
+    found = _select_best(iter(replications + swaps), _MAX_REPLICATIONS + _MAX_SWAPS)
     moves = [scored.move for scored in found]
     match split:
         case ReplicaSplit.EVEN:
-            return moves + _drops(view)
+            return moves + _list_drops(view)
         case ReplicaSplit.LEVEL:
             return moves
 
 
-def slow_count(state: LayerLoads) -> int:
-    """Return how many ranks are as good as tied for the slowest."""
-    limit = state.slowest * (1.0 - _SLOW_BAND)
-    pairs = zip(state.totals, state.speeds, strict=True)
-    return sum(total / speed >= limit for total, speed in pairs)
+def count_slowest_ranks(state: LayerLoads) -> int:
+    """Return how many ranks are the slowest, within ``_SLOWEST_TOLERANCE``."""
+    limit = state.slowest_time * (1.0 - _SLOWEST_TOLERANCE)
+    pairs = zip(state.rank_loads, state.speeds, strict=True)
+    return sum(load / speed >= limit for load, speed in pairs)
 
 
 @dataclass(frozen=True, slots=True)
-class _View:
-    """The state seen from its ranks."""
+class _RankView:
+    """The state of a layer indexed by rank."""
 
     state: LayerLoads
     slots_per_rank: int
-    held: list[list[int]]
-    times: list[float]
-    slow: list[int]
-    fast: list[int]
+    experts_by_rank: list[list[int]]
+    rank_times: list[float]
+    slow_ranks: list[int]
+    fast_ranks: list[int]
 
 
-def _view(state: LayerLoads, slots_per_rank: int) -> _View:
-    held: list[list[int]] = [[] for _ in state.totals]
+def _build_rank_view(state: LayerLoads, slots_per_rank: int) -> _RankView:
+    experts_by_rank: list[list[int]] = [[] for _ in state.rank_loads]
     for expert, hosts in enumerate(state.hosts):
         for rank in hosts:
-            held[rank].append(expert)
-    pairs = zip(state.totals, state.speeds, strict=True)
-    times = [total / speed for total, speed in pairs]
+            experts_by_rank[rank].append(expert)
+    pairs = zip(state.rank_loads, state.speeds, strict=True)
+    times = [load / speed for load, speed in pairs]
     order = sorted(range(len(times)), key=lambda rank: (times[rank], rank))
-    limit = times[order[-1]] * (1.0 - _SLOW_BAND)
-    slow = [rank for rank in reversed(order) if times[rank] >= limit]
-    fast = [rank for rank in order if times[rank] < limit][:_FAST_RANKS]
-    return _View(state, slots_per_rank, held, times, slow, fast)
-
-
-def _part(state: LayerLoads, expert: int, rank: int) -> float:
-    return state.parts[expert][state.hosts[expert].index(rank)]
-
-
-def _hot_experts(view: _View) -> list[tuple[float, int]]:
-    """Experts by what they put on the slow ranks, heaviest first."""
-    on_slow: dict[int, float] = {}
-    for rank in view.slow:
-        for expert in view.held[rank]:
-            part = _part(view.state, expert, rank)
-            on_slow[expert] = on_slow.get(expert, 0.0) + part
-    ordered = sorted((-part, expert) for expert, part in on_slow.items())
-    return [(-part, expert) for part, expert in ordered[:_HOT_EXPERTS]]
-
-
-def _replications(view: _View) -> Iterator[_Scored]:
-    hot = _hot_experts(view)
-    slowest = view.times[view.slow[0]]
-    for rank in view.fast:
-        room = (slowest - view.times[rank]) * view.state.speeds[rank]
-        for displaced, evicted in _evictions(view, rank):
-            for part, expert in hot:
+    limit = times[order[-1]] * (1.0 - _SLOWEST_TOLERANCE)
+    slow_ranks = [rank for rank in reversed(order) if times[rank] >= limit]
+    fast_ranks = [rank for rank in order if times[rank] < limit][:_MAX_FAST_RANKS]
+    return _RankView(
+        state, slots_per_rank, experts_by_rank, times, slow_ranks, fast_ranks
+    )
+
+
+def _replica_load(state: LayerLoads, expert: int, rank: int) -> float:
+    return state.replica_loads[expert][state.hosts[expert].index(rank)]
+
+
+def _find_hot_experts(view: _RankView) -> list[tuple[float, int]]:
+    """Return the experts with the most load on the slowest ranks, heaviest first."""
+    slow_rank_loads: dict[int, float] = {}
+    for rank in view.slow_ranks:
+        for expert in view.experts_by_rank[rank]:
+            load = _replica_load(view.state, expert, rank)
+            slow_rank_loads[expert] = slow_rank_loads.get(expert, 0.0) + load
+    ordered = sorted((-load, expert) for expert, load in slow_rank_loads.items())
+    return [(-load, expert) for load, expert in ordered[:_MAX_HOT_EXPERTS]]
+
+
+def _score_replications(view: _RankView) -> Iterator[_ScoredMove]:
+    hot_experts = _find_hot_experts(view)
+    slowest_time = view.rank_times[view.slow_ranks[0]]
+    for rank in view.fast_ranks:
+        headroom = (slowest_time - view.rank_times[rank]) * view.state.speeds[rank]
+        for displaced_load, evicted in _find_evictions(view, rank):
+            for load, expert in hot_experts:
                 if rank in view.state.hosts[expert] or expert == evicted:
                     continue
-                score = min(part, room) - displaced
-                yield _Scored(score, Replicate(expert, rank, evicted))
+                score = min(load, headroom) - displaced_load
+                yield _ScoredMove(score, Replicate(expert, rank, evicted))
 
 
-def _evictions(view: _View, rank: int) -> list[tuple[float, int | None]]:
-    """Replicas that ``rank`` can spare, with the load they would push elsewhere."""
-    if len(view.held[rank]) < view.slots_per_rank:
+def _find_evictions(view: _RankView, rank: int) -> list[tuple[float, int | None]]:
+    """Return replicas that ``rank`` can evict and the load each moves elsewhere.
+
+    The expert is None if the rank has a free slot, so that nothing is evicted.
+    """
+    if len(view.experts_by_rank[rank]) < view.slots_per_rank:
         return [(0.0, None)]
-    spare = sorted(
-        (_part(view.state, expert, rank), expert)
-        for expert in view.held[rank]
+    evictable = sorted(
+        (_replica_load(view.state, expert, rank), expert)
+        for expert in view.experts_by_rank[rank]
         if len(view.state.hosts[expert]) > 1
     )
-    return [(part, expert) for part, expert in spare[:_EVICTIONS]]
+    return [(load, expert) for load, expert in evictable[:_MAX_EVICTIONS_PER_RANK]]
 
 
-def _swaps(view: _View) -> Iterator[_Scored]:
-    slow = view.slow[0]
-    on_slow = _parts(view, slow)
-    for fast in view.fast:
-        on_fast = [
-            (part, other)
-            for part, other in _parts(view, fast)
-            if slow not in view.state.hosts[other]
+def _score_swaps(view: _RankView) -> Iterator[_ScoredMove]:
+    slow_rank = view.slow_ranks[0]
+    slow_rank_loads = _replica_loads_of_rank(view, slow_rank)
+    for fast_rank in view.fast_ranks:
+        fast_rank_loads = [
+            (load, expert)
+            for load, expert in _replica_loads_of_rank(view, fast_rank)
+            if slow_rank not in view.state.hosts[expert]
         ]
-        for part, expert in on_slow:
-            if fast not in view.state.hosts[expert]:
-                yield from _swaps_of(view, slow, fast, part, expert, on_fast)
+        for load, expert in slow_rank_loads:
+            if fast_rank not in view.state.hosts[expert]:
+                yield from _score_swaps_of_expert(
+                    view, slow_rank, fast_rank, load, expert, fast_rank_loads
+                )
 
 
-def _parts(view: _View, rank: int) -> list[tuple[float, int]]:
-    return [(_part(view.state, expert, rank), expert) for expert in view.held[rank]]
+def _replica_loads_of_rank(view: _RankView, rank: int) -> list[tuple[float, int]]:
+    return [
+        (_replica_load(view.state, expert, rank), expert)
+        for expert in view.experts_by_rank[rank]
+    ]
 
 
-def _swaps_of(
-    view: _View,
-    slow: int,
-    fast: int,
-    part: float,
+def _score_swaps_of_expert(
+    view: _RankView,
+    slow_rank: int,
+    fast_rank: int,
+    load: float,
     expert: int,
-    on_fast: list[tuple[float, int]],
-) -> Iterator[_Scored]:
-    """Score the swaps of one expert; tight, as a decision has 1,000 such pairs."""
-    slow_total, slow_speed = view.state.totals[slow], view.state.speeds[slow]
-    fast_total, fast_speed = view.state.totals[fast], view.state.speeds[fast]
-    slow_time = view.times[slow]
-    for other_part, other in on_fast:
-        shifted = part - other_part
-        if shifted <= 0:
+    fast_rank_loads: list[tuple[float, int]],
+) -> Iterator[_ScoredMove]:
+    """Score the swaps of one expert with the experts of a fast rank.
+
+    The loop is optimised because one decision evaluates 1,000 such pairs.
+    """
+    slow_load, slow_speed = (
+        view.state.rank_loads[slow_rank],
+        view.state.speeds[slow_rank],
+    )
+    fast_load, fast_speed = (
+        view.state.rank_loads[fast_rank],
+        view.state.speeds[fast_rank],
+    )
+    slow_time = view.rank_times[slow_rank]
+    for other_load, other_expert in fast_rank_loads:
+        shifted_load = load - other_load
+        if shifted_load <= 0:
             continue
-        fast_after = (fast_total + shifted) / fast_speed
-        if fast_after >= slow_time:
+        fast_time_after = (fast_load + shifted_load) / fast_speed
+        if fast_time_after >= slow_time:
             continue
-        slowest = max((slow_total - shifted) / slow_speed, fast_after)
-        score = (slow_time - slowest) * slow_speed
-        yield _Scored(score, Swap(expert, slow, other, fast))
+        slowest_time = max((slow_load - shifted_load) / slow_speed, fast_time_after)
+        score = (slow_time - slowest_time) * slow_speed
+        yield _ScoredMove(score, Swap(expert, slow_rank, other_expert, fast_rank))
 
 
-def _drops(view: _View) -> list[Move]:
-    slow = view.slow[0]
+def _list_drops(view: _RankView) -> list[Move]:
+    slow_rank = view.slow_ranks[0]
     return [
-        Drop(expert, slow)
-        for expert in view.held[slow]
+        Drop(expert, slow_rank)
+        for expert in view.experts_by_rank[slow_rank]
         if len(view.state.hosts[expert]) > 1
     ]
 
 
-def _best(scored: Iterator[_Scored], count: int) -> list[_Scored]:
-    return sorted(scored, key=lambda item: -item.score)[:count]
+def _select_best(scored_moves: Iterator[_ScoredMove], count: int) -> list[_ScoredMove]:
+    return sorted(scored_moves, key=lambda scored: -scored.score)[:count]
--- a/src/azurefold/core/balance/greedy_search.py
+++ b/src/azurefold/core/balance/greedy_search.py
@@ -1,10 +1,10 @@
-"""Moves for maps whose replicas share an expert's load evenly, found greedily.
+"""Greedy search for placements whose replicas split an expert's load evenly.
 
-Each step relieves the rank that is slowest at present, by the one move that leaves
-the ranks that it touches quickest. A step costs one pass over the ranks, so that a
-layer of 144 experts on 72 ranks takes some milliseconds; trying each move on a copy
-of the whole layer took 75 ms there, for twelve layers most of a second in which no
-event of any stream goes out.
+Each step adds or removes a replica to relieve the rank that is currently the slowest.
+It picks the change that minimises the time of the slowest affected rank. A step costs
+one pass over the ranks, so a layer of 144 experts on 72 ranks takes a few milliseconds.
+Evaluating each change on a copy of the whole layer took 75 ms there. For twelve layers
+that is most of a second, during which no stream sends an event.
 """
 
 from collections.abc import Collection, Iterator, Sequence
@@ -12,27 +12,28 @@
 
 from azurefold.core.balance.placement import Placement
 
-__all__ = ["EvenSplit", "Step", "even_split"]
+__all__ = ["GreedySearch", "ReplicaChange", "new_greedy_search"]
 
-_EXPERTS_TRIED = 4
-"""Of the slowest rank, the hottest; others would relieve it by little."""
+_MAX_EXPERTS = 4
+"""Hottest experts of the slowest rank to replicate; others would relieve it little."""
 
-_TARGETS_TRIED = 6
-"""Of the quickest ranks that may still load."""
+_MAX_TARGETS = 6
+"""Fastest ranks, among those that may still load weights, to replicate to."""
 
-_NO_WORSE = 1.0 - 1e-9
+_IMPROVEMENT_FACTOR = 1.0 - 1e-9
+"""A change must bring the slowest time below this fraction of the present one."""
 
 
 @dataclass(frozen=True, slots=True)
-class Step:
-    """One small change of a layer's placement.
+class ReplicaChange:
+    """One change of a layer's placement.
 
     Parameters
     ----------
     added : tuple of int and int, or None
         Expert and the rank that loads it.
     removed : tuple of int and int, or None
-        Expert and the rank that gives it up.
+        Expert and the rank that drops it.
     """
 
     added: tuple[int, int] | None = None
@@ -40,187 +41,206 @@
 
 
 @dataclass(slots=True)
-class EvenSplit:
-    """One layer's placement while it is changed; made by :func:`even_split`.
+class GreedySearch:
+    """The mutable state of a search; created by :func:`new_greedy_search`.
 
     Parameters
     ----------
     rates : tuple of float
         Popularity of each expert.
     speeds : tuple of float
-        Of each rank; 1.0 is that of a sound one.
-    places : int
-        Experts that a rank has room for.
-    held : list of set of int
-        Experts of each rank.
+        Speed of each rank; 1.0 is that of a healthy one.
+    slots_per_rank : int
+        Experts whose weights fit on one rank.
+    experts_by_rank : list of set of int
+        Experts that each rank holds.
     hosts : list of set of int
-        Ranks of each expert.
-    loads : list of float
-        Of each rank.
+        Ranks that hold each expert.
+    rank_loads : list of float
+        Load of each rank.
     """
 
     rates: tuple[float, ...]
     speeds: tuple[float, ...]
-    places: int
-    held: list[set[int]]
+    slots_per_rank: int
+    experts_by_rank: list[set[int]]
     hosts: list[set[int]]
-    loads: list[float]
-    _before: tuple[frozenset[int], ...]
-    _new: list[int] = field(default_factory=list)
+    rank_loads: list[float]
+    _initial_experts: tuple[frozenset[int], ...]
+    _weight_loads: list[int] = field(default_factory=list)
 
     @property
     def skew(self) -> float:
-        """Time of the slowest rank over the time if all were level."""
-        total = sum(self.loads)
+        """Time of the slowest rank over the time if all ranks were balanced."""
+        total = sum(self.rank_loads)
         if total <= 0:
             return 1.0
-        return max(map(self._time, range(len(self.loads)))) * sum(self.speeds) / total
+        return (
+            max(map(self._time, range(len(self.rank_loads)))) * sum(self.speeds) / total
+        )
 
     @property
-    def new_loads(self) -> int:
-        """Experts that ranks hold and did not hold at first."""
-        return sum(self._new)
+    def weight_loads(self) -> int:
+        """Experts that ranks hold now and did not hold initially."""
+        return sum(self._weight_loads)
 
     @property
     def weight_loads_by_rank(self) -> tuple[int, ...]:
-        """Experts that each rank holds and did not hold at first."""
-        return tuple(self._new)
+        """Experts that each rank holds now and did not hold initially."""
+        return tuple(self._weight_loads)
 
-    def relieve(self, most_new: int, full: Collection[int] = ()) -> bool:
-        """Take the best step for the slowest rank; return whether there was one.
+    def relieve_slowest_rank(
+        self, max_per_rank: int, full_ranks: Collection[int] = ()
+    ) -> bool:
+        """Apply the best change for the slowest rank.
 
         Parameters
         ----------
-        most_new : int
-            Experts that may be new to one rank.
-        full : collection of int
-            Ranks that may load nothing more.
+        max_per_rank : int
+            Experts of this layer that one rank may load.
+        full_ranks : collection of int
+            Ranks that may not load any more weights.
+
+        Returns
+        -------
+        bool
+            Whether a change was found.
         """
-        slowest = max(range(len(self.loads)), key=self._time)
-        limit = self._time(slowest) * _NO_WORSE
-        best, least = None, limit
-        for step in self._steps(slowest, most_new, full):
-            time = self._slowest_after(step, slowest)
-            if time < least:
-                best, least = step, time
+        slowest = max(range(len(self.rank_loads)), key=self._time)
+        limit = self._time(slowest) * _IMPROVEMENT_FACTOR
+        best, best_time = None, limit
+        for change in self._list_changes(slowest, max_per_rank, full_ranks):
+            time = self._slowest_time_after(change, slowest)
+            if time < best_time:
+                best, best_time = change, time
         if best is None:
             return False
-        self._take(best)
+        self._apply(best)
         return True
 
     def placement(self) -> Placement:
-        """Return the placement as it is now."""
-        ranks = tuple(tuple(sorted(experts)) for experts in self.held)
-        return Placement(len(self.rates), self.places, ranks)
+        """Return the current placement."""
+        ranks = tuple(tuple(sorted(experts)) for experts in self.experts_by_rank)
+        return Placement(len(self.rates), self.slots_per_rank, ranks)
 
     def _time(self, rank: int) -> float:
-        return self.loads[rank] / self.speeds[rank]
-
-    def _steps(
-        self, slowest: int, most_new: int, full: Collection[int]
-    ) -> Iterator[Step]:
-        hottest = sorted(self.held[slowest], key=self._part, reverse=True)
-        targets = self._targets(most_new, full)
-        for expert in hottest[:_EXPERTS_TRIED]:
+        return self.rank_loads[rank] / self.speeds[rank]
+
+    def _list_changes(
+        self, slowest: int, max_per_rank: int, full_ranks: Collection[int]
+    ) -> Iterator[ReplicaChange]:
+        hottest = sorted(
+            self.experts_by_rank[slowest], key=self._replica_load, reverse=True
+        )
+        targets = self._find_targets(max_per_rank, full_ranks)
+        for expert in hottest[:_MAX_EXPERTS]:
             for rank in targets:
                 if rank not in self.hosts[expert]:
-                    yield from self._loads_at(rank, expert)
+                    yield from self._list_additions(rank, expert)
         for expert in hottest:
             if len(self.hosts[expert]) > 1:
-                yield Step(removed=(expert, slowest))
+                yield ReplicaChange(removed=(expert, slowest))
 
-    def _loads_at(self, rank: int, expert: int) -> Iterator[Step]:
+    def _list_additions(self, rank: int, expert: int) -> Iterator[ReplicaChange]:
         added = (expert, rank)
-        if len(self.held[rank]) < self.places:
-            yield Step(added)
+        if len(self.experts_by_rank[rank]) < self.slots_per_rank:
+            yield ReplicaChange(added)
             return
-        spare = [other for other in self.held[rank] if len(self.hosts[other]) > 1]
-        if spare:
-            yield Step(added, (min(spare, key=self._pushed), rank))
-
-    def _targets(self, most_new: int, full: Collection[int]) -> list[int]:
-        able = [
+        evictable = [
+            held for held in self.experts_by_rank[rank] if len(self.hosts[held]) > 1
+        ]
+        if evictable:
+            yield ReplicaChange(
+                added, (min(evictable, key=self._load_increase_on_removal), rank)
+            )
+
+    def _find_targets(
+        self, max_per_rank: int, full_ranks: Collection[int]
+    ) -> list[int]:
+        eligible = [
             rank
-            for rank, new in enumerate(self._new)
-            if new < most_new and rank not in full
+            for rank, weight_loads in enumerate(self._weight_loads)
+            if weight_loads < max_per_rank and rank not in full_ranks
         ]
-        return sorted(able, key=self._time)[:_TARGETS_TRIED]
+        return sorted(eligible, key=self._time)[:_MAX_TARGETS]
 
-    def _part(self, expert: int) -> float:
+    def _replica_load(self, expert: int) -> float:
         return self.rates[expert] / len(self.hosts[expert])
 
-    def _pushed(self, expert: int) -> float:
-        """Return what each other host gets more if one gives the expert up."""
+    def _load_increase_on_removal(self, expert: int) -> float:
+        """Return the load added to each remaining host if one replica is removed."""
         count = len(self.hosts[expert])
         return self.rates[expert] / (count - 1) - self.rates[expert] / count
 
-    def _changes(self, step: Step) -> dict[int, float]:
-        """Return by how much a step changes the loads of which ranks."""
-        changes: dict[int, float] = {}
-        if step.added is not None:
-            expert, rank = step.added
+    def _load_deltas(self, change: ReplicaChange) -> dict[int, float]:
+        """Return by how much a change alters the load of each affected rank."""
+        deltas: dict[int, float] = {}
+        if change.added is not None:
+            expert, rank = change.added
             count = len(self.hosts[expert])
-            part = self.rates[expert] / (count + 1)
+            load = self.rates[expert] / (count + 1)
             for host in self.hosts[expert]:
-                changes[host] = part - self._part(expert)
-            changes[rank] = part
-        if step.removed is not None:
-            expert, rank = step.removed
-            pushed = self._pushed(expert)
+                deltas[host] = load - self._replica_load(expert)
+            deltas[rank] = load
+        if change.removed is not None:
+            expert, rank = change.removed
+            increase = self._load_increase_on_removal(expert)
             for host in self.hosts[expert]:
-                changes[host] = changes.get(host, 0.0) + pushed
-            changes[rank] = changes[rank] - pushed - self._part(expert)
-        return changes
+                deltas[host] = deltas.get(host, 0.0) + increase
+            deltas[rank] = deltas[rank] - increase - self._replica_load(expert)
+        return deltas
 
-    def _slowest_after(self, step: Step, slowest: int) -> float:
-        """Return the slowest time among the ranks that a step touches."""
-        changes = self._changes(step)
+    def _slowest_time_after(self, change: ReplicaChange, slowest: int) -> float:
+        """Return the longest time among the affected ranks and the slowest one."""
+        deltas = self._load_deltas(change)
         times = [
-            (self.loads[rank] + change) / self.speeds[rank]
-            for rank, change in changes.items()
+            (self.rank_loads[rank] + delta) / self.speeds[rank]
+            for rank, delta in deltas.items()
         ]
-        if slowest not in changes:
+        if slowest not in deltas:
             times.append(self._time(slowest))
         return max(times)
 
-    def _take(self, step: Step) -> None:
-        for rank, change in self._changes(step).items():
-            self.loads[rank] += change
-        touched = []
-        if step.added is not None:
-            expert, rank = step.added
-            self.held[rank].add(expert)
+    def _apply(self, change: ReplicaChange) -> None:
+        for rank, delta in self._load_deltas(change).items():
+            self.rank_loads[rank] += delta
+        changed_ranks = []
+        if change.added is not None:
+            expert, rank = change.added
+            self.experts_by_rank[rank].add(expert)
             self.hosts[expert].add(rank)
-            touched.append(rank)
-        if step.removed is not None:
-            expert, rank = step.removed
-            self.held[rank].discard(expert)
+            changed_ranks.append(rank)
+        if change.removed is not None:
+            expert, rank = change.removed
+            self.experts_by_rank[rank].discard(expert)
             self.hosts[expert].discard(rank)
-            touched.append(rank)
-        for rank in touched:
-            self._new[rank] = len(self.held[rank] - self._before[rank])
+            changed_ranks.append(rank)
+        for rank in changed_ranks:
+            self._weight_loads[rank] = len(
+                self.experts_by_rank[rank] - self._initial_experts[rank]
+            )
 
 
-def even_split(
+def new_greedy_search(
     placement: Placement, rates: Sequence[float], speeds: Sequence[float]
-) -> EvenSplit:
-    """Return a layer as it is before any step.
+) -> GreedySearch:
+    """Return a search that starts from ``placement``.
 
     Parameters
     ----------
     placement : Placement
-        The one in force.
+        The active placement.
     rates : sequence of float
         Popularity of each expert.
     speeds : sequence of float
-        Of each rank; 1.0 is that of a sound one.
+        Speed of each rank; 1.0 is that of a healthy one.
     """
-    hosts = [set(of_expert) for of_expert in placement.hosts]
+    hosts = [set(ranks) for ranks in placement.hosts]
     loads = [
         sum(rates[expert] / len(hosts[expert]) for expert in experts)
         for experts in placement.ranks
     ]
-    return EvenSplit(
+    return GreedySearch(
         tuple(rates),
         tuple(speeds),
         placement.slots_per_rank,
--- a/src/azurefold/core/balance/moves.py
+++ b/src/azurefold/core/balance/moves.py
@@ -1,24 +1,31 @@
-"""The small moves that change a placement, and how to try one."""
+"""Defines the moves that change a placement by one or two replicas."""
 
 from dataclasses import dataclass
 
 from azurefold.core.balance.shares import LayerLoads
 
-__all__ = ["Drop", "Move", "Replicate", "Swap", "apply_move", "count_weight_loads"]
+__all__ = [
+    "Drop",
+    "Move",
+    "Replicate",
+    "Swap",
+    "apply_move",
+    "count_weight_loads",
+]
 
 
 @dataclass(frozen=True, slots=True)
 class Replicate:
-    """Load an expert into one more rank.
+    """Add a replica of an expert to a rank.
 
     Parameters
     ----------
     expert : int
-        The expert that gains a replica.
+        Expert to replicate.
     rank : int
-        Where to.
+        Rank that loads the replica.
     evicted : int or None
-        The expert whose replica makes room; None when a slot is free.
+        Expert whose replica is removed to free a slot; None if a slot is free.
     """
 
     expert: int
@@ -28,17 +35,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Swap:
-    """Exchange an expert of one rank with an expert of another."""
+    """Exchange an expert of one rank with an expert of another rank."""
 
     expert: int
     rank: int
-    other: int
+    other_expert: int
     other_rank: int
 
 
 @dataclass(frozen=True, slots=True)
 class Drop:
-    """Give up one replica; worth something only where replicas share evenly."""
+    """Remove one replica; this only helps where replicas split the load evenly."""
 
     expert: int
     rank: int
@@ -59,45 +66,45 @@
 
 
 def apply_move(state: LayerLoads, move: Move) -> None:
-    """Change the hosts in ``state``; the caller splits the loads again.
+    """Change the hosts in ``state``; the caller has to split the loads again.
 
-    Until then an added replica takes nothing, and what a removed one took goes
-    to the last of the hosts that are left.
+    Until then an added replica has no load. The load of a removed replica is added
+    to the last of the remaining hosts.
 
     Raises
     ------
     ValueError
-        If the move would leave an expert without a slot. A token routed to it
-        would then have nowhere to go, and the step would fail on all ranks.
+        If the move would leave an expert without a replica. A token routed to that
+        expert could not be processed, and the step would fail on all ranks.
     """
     match move:
         case Replicate(expert, rank, evicted):
             if evicted is not None:
-                _remove(state, evicted, rank)
-            _add(state, expert, rank)
-        case Swap(expert, rank, other, other_rank):
-            _add(state, expert, other_rank)
-            _add(state, other, rank)
-            _remove(state, expert, rank)
-            _remove(state, other, other_rank)
+                _remove_replica(state, evicted, rank)
+            _add_replica(state, expert, rank)
+        case Swap(expert, rank, other_expert, other_rank):
+            _add_replica(state, expert, other_rank)
+            _add_replica(state, other_expert, rank)
+            _remove_replica(state, expert, rank)
+            _remove_replica(state, other_expert, other_rank)
         case Drop(expert, rank):
-            _remove(state, expert, rank)
+            _remove_replica(state, expert, rank)
 
 
-def _add(state: LayerLoads, expert: int, rank: int) -> None:
+def _add_replica(state: LayerLoads, expert: int, rank: int) -> None:
     if rank in state.hosts[expert]:
-        raise ValueError(f"rank {rank} holds expert {expert} already")
+        raise ValueError(f"rank {rank} already holds expert {expert}")
     state.hosts[expert].append(rank)
-    state.parts[expert].append(0.0)
+    state.replica_loads[expert].append(0.0)
 
 
-def _remove(state: LayerLoads, expert: int, rank: int) -> None:
-    hosts, parts = state.hosts[expert], state.parts[expert]
+def _remove_replica(state: LayerLoads, expert: int, rank: int) -> None:
+    hosts, replica_loads = state.hosts[expert], state.replica_loads[expert]
     if len(hosts) == 1:
-        raise ValueError(f"expert {expert} would be left without a slot")
+        raise ValueError(f"cannot remove the only replica of expert {expert}")
     index = hosts.index(rank)
-    part = parts.pop(index)
+    load = replica_loads.pop(index)
     hosts.pop(index)
-    state.totals[rank] -= part
-    parts[-1] += part
-    state.totals[hosts[-1]] += part
+    state.rank_loads[rank] -= load
+    replica_loads[-1] += load
+    state.rank_loads[hosts[-1]] += load
--- a/src/azurefold/core/balance/packing.py
+++ b/src/azurefold/core/balance/packing.py
@@ -1,8 +1,8 @@
-"""A placement from nothing: replicate the hottest, then pack the heaviest first.
+"""Creates placements from scratch: replicate hot experts, then pack heaviest first.
 
-This is how published expert-parallel balancers place experts, each time anew.
-Here it makes the first placement of a layer only; from then on small moves
-keep it level, since a new packing shares hardly a slot with the old one.
+Published expert-parallel balancers place experts this way for each new map. Here it
+only creates the first placement of a layer. A new packing has hardly a slot in common
+with the previous one, so later imbalance is corrected by single moves instead.
 """
 
 import heapq
@@ -16,21 +16,21 @@
 def pack_experts(
     loads: Sequence[float], n_ranks: int, slots_per_rank: int
 ) -> Placement:
-    """Place all experts, with the spare slots used as replicas of hot ones.
+    """Place all experts and use the spare slots for replicas of hot experts.
 
     Parameters
     ----------
     loads : sequence of float
         Load of each expert, in any unit.
     n_ranks : int
-        Ranks of the group.
+        Number of ranks in the group.
     slots_per_rank : int
-        Weights that one rank has room for.
+        Experts whose weights fit on one rank.
 
     Raises
     ------
     ValueError
-        If the slots are fewer than the experts.
+        If there are fewer slots than experts.
 
     Examples
     --------
@@ -40,53 +40,54 @@
     n_slots = n_ranks * slots_per_rank
     if n_slots < len(loads):
         raise ValueError(
-            f"{len(loads)} experts need as many slots, but {n_ranks} ranks of "
-            f"{slots_per_rank} have {n_slots}; add ranks or slots per rank"
+            f"{len(loads)} experts do not fit into the {n_slots} slots of "
+            f"{n_ranks} ranks with {slots_per_rank} slots each; "
+            "add ranks or slots per rank"
         )
-    replicas = _replica_counts(loads, n_ranks, n_slots)
-    pieces = [
+    counts = _count_replicas(loads, n_ranks, n_slots)
+    replicas = [
         (loads[expert] / count, expert)
-        for expert, count in enumerate(replicas)
+        for expert, count in enumerate(counts)
         for _ in range(count)
     ]
-    pieces.sort(key=lambda piece: (-piece[0], piece[1]))
-    ranks = _fill(pieces, n_ranks, slots_per_rank)
+    replicas.sort(key=lambda replica: (-replica[0], replica[1]))
+    ranks = _assign_to_ranks(replicas, n_ranks, slots_per_rank)
     return Placement(len(loads), slots_per_rank, tuple(map(tuple, ranks)))
 
 
-def _replica_counts(loads: Sequence[float], n_ranks: int, n_slots: int) -> list[int]:
-    """Give each spare slot to the expert with the most load per replica."""
+def _count_replicas(loads: Sequence[float], n_ranks: int, n_slots: int) -> list[int]:
+    """Assign each spare slot to the expert with the highest load per replica."""
     counts = [1] * len(loads)
     heap = [(-load, expert) for expert, load in enumerate(loads)]
     heapq.heapify(heap)
-    spare = n_slots - len(loads)
-    while spare and heap:
+    spare_slots = n_slots - len(loads)
+    while spare_slots and heap:
         _, expert = heapq.heappop(heap)
         if counts[expert] == n_ranks:
             continue
         counts[expert] += 1
-        spare -= 1
+        spare_slots -= 1
         heapq.heappush(heap, (-loads[expert] / counts[expert], expert))
     return counts
 
 
-def _fill(
-    pieces: list[tuple[float, int]], n_ranks: int, slots_per_rank: int
+def _assign_to_ranks(
+    replicas: list[tuple[float, int]], n_ranks: int, slots_per_rank: int
 ) -> list[list[int]]:
-    """Put each piece on the least loaded rank with room that lacks its expert."""
+    """Put each replica on the least loaded rank with a slot and without the expert."""
     ranks: list[list[int]] = [[] for _ in range(n_ranks)]
-    totals = [0.0] * n_ranks
-    for load, expert in pieces:
-        open_ranks = [
+    rank_loads = [0.0] * n_ranks
+    for load, expert in replicas:
+        eligible_ranks = [
             rank
             for rank in range(n_ranks)
             if len(ranks[rank]) < slots_per_rank and expert not in ranks[rank]
         ]
-        if not open_ranks:
-            # Every rank with room holds it already: a further replica of the
-            # same expert would serve nobody, and its slot stays free.
+        if not eligible_ranks:
+            # Every rank with a free slot already holds the expert. A second copy on
+            # the same rank would be useless, so the slot stays free.
             continue
-        rank = min(open_ranks, key=lambda r: (totals[r], r))
+        rank = min(eligible_ranks, key=lambda r: (rank_loads[r], r))
         ranks[rank].append(expert)
-        totals[rank] += load
+        rank_loads[rank] += load
     return ranks
--- a/src/azurefold/core/balance/placement.py
+++ b/src/azurefold/core/balance/placement.py
@@ -1,9 +1,9 @@
-"""Which experts each rank holds, and which share of its load each replica takes."""
+"""Models which experts each rank holds and how replicas share an expert's load."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-__all__ = ["Assignment", "Placement", "validate_assignment", "assign_evenly"]
+__all__ = ["Assignment", "Placement", "assign_evenly", "validate_assignment"]
 
 _SHARE_TOLERANCE = 1e-6
 
@@ -15,11 +15,11 @@
     Parameters
     ----------
     n_experts : int
-        Experts of the layer, numbered from 0.
+        Number of experts in the layer. Experts are numbered from 0.
     slots_per_rank : int
-        Weights that one rank has room for.
+        Experts whose weights fit on one rank.
     ranks : tuple of tuple of int
-        For each rank the experts it holds, in no particular order.
+        Experts that each rank holds, in any order.
     """
 
     n_experts: int
@@ -28,41 +28,41 @@
 
     @property
     def hosts(self) -> tuple[tuple[int, ...], ...]:
-        """For each expert the ranks that hold it, ascending."""
+        """Ranks that hold each expert, in ascending order."""
         hosts: list[list[int]] = [[] for _ in range(self.n_experts)]
         for rank, experts in enumerate(self.ranks):
             for expert in experts:
                 hosts[expert].append(rank)
-        return tuple(tuple(of_expert) for of_expert in hosts)
+        return tuple(tuple(expert_hosts) for expert_hosts in hosts)
 
     def find_violations(self) -> tuple[str, ...]:
-        """Return what is wrong with the placement; empty when it is sound."""
-        found = []
+        """Return a message for each violated constraint; empty if it is valid."""
+        violations = []
         for rank, experts in enumerate(self.ranks):
             if len(experts) > self.slots_per_rank:
-                found.append(
+                violations.append(
                     f"rank {rank} holds {len(experts)} experts "
                     f"in {self.slots_per_rank} slots"
                 )
             if len(set(experts)) != len(experts):
-                found.append(f"rank {rank} holds an expert twice")
+                violations.append(f"rank {rank} holds an expert twice")
         for expert, ranks in enumerate(self.hosts):
             if not ranks:
-                found.append(f"expert {expert} has no slot")
-        return tuple(found)
+                violations.append(f"expert {expert} has no slot")
+        return tuple(violations)
 
 
 @dataclass(frozen=True, slots=True)
 class Assignment:
-    """A placement with the share of each replica.
+    """A placement with the load share of each replica.
 
     Parameters
     ----------
     placement : Placement
-        Where the experts are.
+        Which rank holds which experts.
     shares : tuple of tuple of float
-        For each expert the shares of its load, one for each of its hosts in the
-        order of ``placement.hosts``; they add up to 1.
+        Fractions of each expert's load, one per host in the order of
+        ``placement.hosts``. The fractions of an expert add up to 1.
     """
 
     placement: Placement
@@ -77,15 +77,15 @@
             Load of each expert.
         """
         totals = [0.0] * len(self.placement.ranks)
-        parts = zip(loads, self.placement.hosts, self.shares, strict=True)
-        for load, hosts, shares in parts:
+        rows = zip(loads, self.placement.hosts, self.shares, strict=True)
+        for load, hosts, shares in rows:
             for rank, share in zip(hosts, shares, strict=True):
                 totals[rank] += load * share
         return totals
 
 
 def assign_evenly(placement: Placement) -> Assignment:
-    """ReplicaSplit each expert's load evenly over its replicas.
+    """Split each expert's load evenly over its replicas.
 
     Examples
     --------
@@ -98,21 +98,29 @@
 
 
 def validate_assignment(assignment: Assignment) -> None:
-    """Refuse an assignment that would lose tokens or overfill a rank.
+    """Reject an assignment that would lose tokens or exceed a rank's slots.
 
     Raises
     ------
     ExceptionGroup
-        Of :class:`ValueError`, one for each finding.
+        With one :class:`ValueError` per violation.
     """
-    found = list(assignment.placement.find_violations())
+    violations = list(assignment.placement.find_violations())
     hosts = assignment.placement.hosts
     if len(assignment.shares) != len(hosts):
-        found.append(f"shares for {len(assignment.shares)} of {len(hosts)} experts")
+        violations.append(
+            f"shares are given for {len(assignment.shares)} of {len(hosts)} experts"
+        )
     for expert, shares in enumerate(assignment.shares[: len(hosts)]):
         if len(shares) != len(hosts[expert]):
-            found.append(f"expert {expert} has not one share for each replica")
+            violations.append(
+                f"expert {expert} needs exactly one share for each replica"
+            )
         elif abs(sum(shares) - 1.0) > _SHARE_TOLERANCE or min(shares, default=0) < 0:
-            found.append(f"the shares of expert {expert} do not add up to 1")
-    if found:
-        raise ExceptionGroup("unsound assignment", [ValueError(f) for f in found])
+            violations.append(
+                f"the shares of expert {expert} must be non-negative and add up to 1"
+            )
+    if violations:
+        raise ExceptionGroup(
+            "invalid assignment", [ValueError(violation) for violation in violations]
+        )
--- a/src/azurefold/core/balance/plan.py
+++ b/src/azurefold/core/balance/plan.py
@@ -1,16 +1,16 @@
-"""A whole map from small moves, within what one change may load."""
+"""Plans the maps of all layers, step by step within the limits of one change."""
 
 from collections.abc import Collection, Iterator, Sequence
 from dataclasses import dataclass
 
-from azurefold.core.balance.greedy_search import EvenSplit, even_split
+from azurefold.core.balance.greedy_search import GreedySearch, new_greedy_search
 from azurefold.core.balance.placement import Placement, assign_evenly
 from azurefold.core.balance.policy import BalancePolicy
 
 __all__ = [
     "LayerPlan",
-    "WeightLoadLimits",
     "MapPlan",
+    "WeightLoadLimits",
     "compute_layer_skew",
     "initial_placement",
     "plan_layer",
@@ -20,14 +20,14 @@
 
 @dataclass(frozen=True, slots=True)
 class WeightLoadLimits:
-    """What one change may load.
+    """Limits on the experts that one rank loads in one map change.
 
     Parameters
     ----------
     max_per_rank_and_layer : int
-        Experts of one layer that may be new to a rank.
+        Experts of one layer that a rank may load.
     max_per_rank : int
-        Experts of all layers that may be new to a rank.
+        Experts of all layers together that a rank may load.
     """
 
     max_per_rank_and_layer: int
@@ -36,17 +36,17 @@
 
 @dataclass(frozen=True, slots=True)
 class LayerPlan:
-    """What is planned for one layer.
+    """The plan for one layer.
 
     Parameters
     ----------
     placement : Placement
-        That of before if nothing changes.
+        Planned placement; the present one if nothing changes.
     skew_before, skew_after : float
-        Time of the slowest rank over the time if all were level: its load, and its
-        speed where it is slow as such.
+        Time of the slowest rank over the time if all ranks were balanced. The time
+        of a rank depends on its load and on its speed.
     weight_loads_by_rank : tuple of int
-        Weights that each rank has to load.
+        Experts whose weights each rank has to load.
     """
 
     placement: Placement
@@ -56,45 +56,45 @@
 
     @property
     def weight_loads(self) -> int:
-        """Weights that all ranks have to load."""
+        """Experts whose weights have to be loaded, summed over all ranks."""
         return sum(self.weight_loads_by_rank)
 
 
 @dataclass(frozen=True, slots=True)
 class MapPlan:
-    """What is planned for all layers."""
+    """The plan for all layers."""
 
     layers: tuple[LayerPlan, ...]
 
     @property
     def weight_loads(self) -> int:
-        """Weights that ranks have to load."""
+        """Experts whose weights have to be loaded, over all layers and ranks."""
         return sum(layer.weight_loads for layer in self.layers)
 
     @property
     def weight_loads_by_rank(self) -> tuple[int, ...]:
-        """Weights that each rank has to load, which it does one after the other."""
+        """Experts that each rank has to load; it loads them one after the other."""
         by_layer = (layer.weight_loads_by_rank for layer in self.layers)
         return tuple(map(sum, zip(*by_layer, strict=True)))
 
     @property
     def skew_before(self) -> float:
-        """Mean skew of the layers, which a pass goes through one by one."""
+        """Mean skew of the layers; a pass executes them one after the other."""
         return sum(layer.skew_before for layer in self.layers) / len(self.layers)
 
     @property
     def skew_after(self) -> float:
-        """Mean skew that the plan leads to."""
+        """Mean skew of the layers under the planned placements."""
         return sum(layer.skew_after for layer in self.layers) / len(self.layers)
 
     @property
     def placements(self) -> tuple[Placement, ...]:
-        """Of all layers."""
+        """Planned placement of each layer."""
         return tuple(layer.placement for layer in self.layers)
 
 
-def initial_placement(n_experts: int, places: int, n_ranks: int) -> Placement:
-    """Return the placement of a group that has just formed: experts in turn.
+def initial_placement(n_experts: int, slots_per_rank: int, n_ranks: int) -> Placement:
+    """Return the placement of a newly formed group: experts assigned round-robin.
 
     Examples
     --------
@@ -102,7 +102,7 @@
     ((0, 2, 4), (1, 3))
     """
     ranks = tuple(tuple(range(rank, n_experts, n_ranks)) for rank in range(n_ranks))
-    return Placement(n_experts, places, ranks)
+    return Placement(n_experts, slots_per_rank, ranks)
 
 
 def compute_layer_skew(placement: Placement, rates: Sequence[float]) -> float:
@@ -119,42 +119,52 @@
     policy: BalancePolicy,
     limits: WeightLoadLimits,
 ) -> Iterator[MapPlan | None]:
-    """Plan all layers: steps as far as they pay for what ranks have to load.
+    """Plan all layers, with changes only where the gain exceeds the loading cost.
+
+    The layer with the largest skew takes the next step, because a pass executes all
+    layers. A rank loads the weights of all layers over one link.
 
-    The layer that is most skewed at present takes the next step, as a pass goes
-    through all of them; a rank loads for all layers over one link. A step may pay
-    only together with those behind it, as when two ranks are equally slow; so each
-    layer takes steps as long as there are any, and the best of its placements on the
-    way is its plan.
+    A step may reduce the cost only together with later ones, for example when two
+    ranks are equally slow. So each layer continues until no further step is possible,
+    and its plan is the best placement found on the way.
 
     Parameters
     ----------
     placements : sequence of Placement
-        Those in force, by layer.
+        Active placement of each layer.
     popularity : sequence of sequence of float
-        Of each layer's experts.
+        Rates of each layer's experts.
     speeds : sequence of float
-        Of each rank; 1.0 is that of a sound one.
+        Speed of each rank; 1.0 is that of a healthy one.
     policy : BalancePolicy
+        Weights and limits of the service.
     limits : WeightLoadLimits
+        Limits on what each rank loads.
 
     Yields
     ------
     MapPlan or None
-        None after each step, so that other work can go on in between; the plan
-        last.
+        None after each step, so that the caller can run other work in between; the
+        plan at the end.
     """
     layers = [
-        _Layer(even_split(placement, rates, speeds), placement, policy)
+        _LayerPlanner(new_greedy_search(placement, rates, speeds), placement, policy)
         for placement, rates in zip(placements, popularity, strict=True)
     ]
-    open_layers = list(layers)
-    while open_layers:
-        layer = max(open_layers, key=_Layer.current_skew)
-        used = [sum(each.loads[rank] for each in layers) for rank in range(len(speeds))]
-        full = {rank for rank, loads in enumerate(used) if loads >= limits.max_per_rank}
-        if not layer.step(limits.max_per_rank_and_layer, full):
-            open_layers.remove(layer)
+    unfinished_layers = list(layers)
+    while unfinished_layers:
+        layer = max(unfinished_layers, key=_LayerPlanner.current_skew)
+        weight_loads_by_rank = [
+            sum(planner.weight_loads_by_rank[rank] for planner in layers)
+            for rank in range(len(speeds))
+        ]
+        full_ranks = {
+            rank
+            for rank, weight_loads in enumerate(weight_loads_by_rank)
+            if weight_loads >= limits.max_per_rank
+        }
+        if not layer.take_step(limits.max_per_rank_and_layer, full_ranks):
+            unfinished_layers.remove(layer)
         yield None
     yield MapPlan(tuple(layer.plan() for layer in layers))
 
@@ -164,50 +174,58 @@
     rates: Sequence[float],
     speeds: Sequence[float],
     policy: BalancePolicy,
-    loads_per_rank: int,
+    max_per_rank: int,
 ) -> LayerPlan:
-    """Plan one layer by itself; see :func:`plan_layers`."""
-    limits = WeightLoadLimits(loads_per_rank, loads_per_rank)
+    """Plan a single layer; see :func:`plan_layers`."""
+    limits = WeightLoadLimits(max_per_rank, max_per_rank)
     steps = plan_layers([placement], [rates], speeds, policy, limits)
     *_, plan = steps
     return plan.layers[0]
 
 
 @dataclass(slots=True)
-class _Layer:
-    """A layer while it is planned, with the best of its placements so far."""
+class _LayerPlanner:
+    """The search of one layer and the best placement that it has found so far."""
 
-    split: EvenSplit
-    best: Placement
+    search: GreedySearch
+    best_placement: Placement
     policy: BalancePolicy
-    before: float = 0.0
-    after: float = 0.0
-    loads: tuple[int, ...] = ()
-    least_cost: float = 0.0
+    skew_before: float = 0.0
+    skew_after: float = 0.0
+    weight_loads_by_rank: tuple[int, ...] = ()
+    lowest_cost: float = 0.0
 
     def __post_init__(self) -> None:
-        self.before = self.after = self.split.skew
-        self.loads = self.split.weight_loads_by_rank
+        self.skew_before = self.skew_after = self.search.skew
+        self.weight_loads_by_rank = self.search.weight_loads_by_rank
 
     def current_skew(self) -> float:
-        return self.split.skew
+        return self.search.skew
 
-    def step(self, most_of_a_rank: int, full: Collection[int]) -> bool:
-        """Take one step; return whether there may be another."""
-        split, policy = self.split, self.policy
-        if split.skew <= 1.0 + policy.tolerated_excess:
+    def take_step(self, max_per_rank: int, full_ranks: Collection[int]) -> bool:
+        """Take one step; return whether another one may be possible."""
+        search, policy = self.search, self.policy
+        if search.skew <= 1.0 + policy.tolerated_excess:
             return False
         if (
-            not split.relieve(most_of_a_rank, full)
-            or split.new_loads > policy.max_weight_loads
+            not search.relieve_slowest_rank(max_per_rank, full_ranks)
+            or search.weight_loads > policy.max_weight_loads
         ):
             return False
-        gained = policy.excess_cost * (self.before - split.skew)
-        cost = policy.move_weight * split.new_loads - gained
-        if cost < self.least_cost:
-            self.best, self.after = split.placement(), split.skew
-            self.loads, self.least_cost = split.weight_loads_by_rank, cost
+        gain = policy.excess_cost * (self.skew_before - search.skew)
+        cost = policy.move_weight * search.weight_loads - gain
+        if cost < self.lowest_cost:
+            self.best_placement, self.skew_after = search.placement(), search.skew
+            self.weight_loads_by_rank, self.lowest_cost = (
+                search.weight_loads_by_rank,
+                cost,
+            )
         return True
 
     def plan(self) -> LayerPlan:
-        return LayerPlan(self.best, self.before, self.after, self.loads)
+        return LayerPlan(
+            self.best_placement,
+            self.skew_before,
+            self.skew_after,
+            self.weight_loads_by_rank,
+        )
--- a/src/azurefold/core/balance/policy.py
+++ b/src/azurefold/core/balance/policy.py
@@ -1,4 +1,4 @@
-"""What a service asks of the balance: weights, windows and limits."""
+"""Weights, windows and limits that a service sets for balancing its experts."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -8,11 +8,15 @@
 __all__ = ["DAY_MS", "BalancePolicy", "MoveWindow", "ReplicaSplit", "move_factor"]
 
 DAY_MS: Millis = 24 * 60 * 60 * SECOND
-_DEFAULT_DRIFT_LIFE: Millis = 30 * 60 * SECOND
+_DEFAULT_PLACEMENT_LIFETIME_MS: Millis = 30 * 60 * SECOND
 
 
 class ReplicaSplit(Enum):
-    """How the load of an expert is split over its replicas."""
+    """How the load of an expert is split over its replicas.
+
+    EVEN gives every replica the same share. LEVEL chooses the shares so that the
+    times of the ranks become as equal as possible.
+    """
 
     EVEN = "even"
     LEVEL = "level"
@@ -25,10 +29,10 @@
     Parameters
     ----------
     start, end : int
-        Milliseconds since midnight, local to the service; the end is excluded.
-        A window whose end is before its start goes over midnight.
+        Milliseconds since midnight in the service's local time; the end is
+        exclusive. A window whose end is before its start spans midnight.
     factor : float
-        By how much moves are dearer; ``math.inf`` forbids them.
+        Multiplier for the cost of moves; ``math.inf`` forbids them.
     """
 
     start: Millis
@@ -49,21 +53,22 @@
     Parameters
     ----------
     skew_weight : float
-        Price of one second in which the slowest rank takes twice the ideal time.
+        Cost of one second in which the slowest rank takes twice the ideal time.
     move_weight : float
-        Price of loading one expert's weights into one slot.
+        Cost of loading one expert's weights into one slot.
     move_windows : tuple of MoveWindow
-        When moves are dearer. Where windows overlap the dearest holds.
+        When moves cost more. Where windows overlap, the highest factor applies.
     placement_lifetime : int
-        Milliseconds for which a placement made now is expected to stay useful.
+        Milliseconds for which a new placement is expected to stay useful, while
+        popularity drifts.
     max_weight_loads : int
         Weight loads allowed in one interval, over all layers.
     interval : int
         Milliseconds between two decisions.
     tolerated_excess : float
-        Excess of the slowest rank below which nothing is searched.
+        Excess of the slowest rank up to which no better placement is searched.
     min_reshare_gain : float
-        Gain of excess from which new shares alone justify a new map.
+        Reduction of the excess above which new shares alone justify a new map.
     split : ReplicaSplit
         How replicas share an expert's load.
     """
@@ -71,7 +76,7 @@
     skew_weight: float
     move_weight: float
     move_windows: tuple[MoveWindow, ...] = ()
-    placement_lifetime: Millis = _DEFAULT_DRIFT_LIFE
+    placement_lifetime: Millis = _DEFAULT_PLACEMENT_LIFETIME_MS
     max_weight_loads: int = 32
     interval: Millis = 30 * SECOND
     tolerated_excess: float = 0.01
@@ -79,30 +84,32 @@
     split: ReplicaSplit = ReplicaSplit.LEVEL
 
     def __post_init__(self) -> None:
-        """Refuse weights that would make every move, or none, worth while.
+        """Reject weights under which every move, or none, would be worthwhile.
 
         Raises
         ------
         ValueError
-            If a weight is negative, or the drift's life is not positive.
+            If a weight is negative, the placement lifetime is not positive, or the
+            factor of a window is below 1.
         """
         if self.skew_weight < 0 or self.move_weight < 0:
             raise ValueError("skew_weight and move_weight must not be negative")
         if self.placement_lifetime <= 0:
             raise ValueError(
-                f"drift_life must be above 0 ms, not {self.placement_lifetime}"
+                "placement_lifetime must be greater than 0 ms, "
+                f"not {self.placement_lifetime}"
             )
         if any(window.factor < 1 for window in self.move_windows):
             raise ValueError("the factor of a move window must be at least 1")
 
     @property
     def excess_cost(self) -> float:
-        """Price of an excess of 1.0 that lasts for the life of the drift."""
+        """Cost of an excess of 1.0 that lasts for the placement lifetime."""
         return self.skew_weight * self.placement_lifetime / SECOND
 
 
 def move_factor(policy: BalancePolicy, time_of_day: Millis) -> float:
-    """Return by how much moves are dearer at ``time_of_day``.
+    """Return the multiplier for the cost of moves at ``time_of_day``.
 
     Examples
     --------
@@ -112,6 +119,8 @@
     (20.0, 1.0)
     """
     factors = [
-        w.factor for w in policy.move_windows if w.contains(time_of_day % DAY_MS)
+        window.factor
+        for window in policy.move_windows
+        if window.contains(time_of_day % DAY_MS)
     ]
     return max(factors, default=1.0)
--- a/src/azurefold/core/balance/popularity.py
+++ b/src/azurefold/core/balance/popularity.py
@@ -1,4 +1,7 @@
-"""How often each expert of one layer is chosen, as a decayed rate."""
+"""Tracks how often each expert of a layer is chosen, as an exponentially decayed rate.
+
+Old counts lose weight with a configurable time constant.
+"""
 
 import math
 from collections.abc import Sequence
@@ -11,16 +14,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Popularity:
-    """Decayed rates of one layer.
+    """Decayed rates of the experts of one layer.
 
     Parameters
     ----------
     rates : tuple of float
-        Tokens a second for each expert.
+        Tokens per second for each expert.
     observed_at : int or None
-        When the last counts were taken, in milliseconds; None before the first.
+        Time of the last update in milliseconds; None before the first one.
     time_constant : int
-        Milliseconds after which an old count weighs 1/e.
+        Milliseconds after which the weight of a count has decayed to 1/e.
     """
 
     rates: tuple[float, ...]
@@ -29,7 +32,7 @@
 
 
 def new_popularity(n_experts: int, time_constant: Millis) -> Popularity:
-    """Return the popularity of a layer that has not been observed yet.
+    """Return the popularity of a layer without any observations.
 
     Raises
     ------
@@ -39,33 +42,35 @@
     if n_experts < 1:
         raise ValueError(f"a layer needs at least one expert, not {n_experts}")
     if time_constant <= 0:
-        raise ValueError(f"the time constant must be above 0 ms, not {time_constant}")
+        raise ValueError(
+            f"the time constant must be greater than 0 ms, not {time_constant}"
+        )
     return Popularity((0.0,) * n_experts, None, time_constant)
 
 
 def update_popularity(
     popularity: Popularity, counts: Sequence[int], span: Millis, now: Millis
 ) -> Popularity:
-    """Take in the tokens counted for each expert over the last ``span``.
+    """Return the popularity updated with the tokens counted during ``span``.
 
-    The first counts are taken as they are: a rate that had to climb from zero
-    would look like a wave of demand to everything that reads it.
+    The first counts set the rates directly. Rates that rose from zero instead would
+    look like a surge of demand to their readers.
 
     Parameters
     ----------
     popularity : Popularity
-        The rates so far.
+        Rates before the update.
     counts : sequence of int
         Tokens for each expert within ``span``.
     span : int
-        Milliseconds over which the counts were taken.
+        Milliseconds over which the tokens were counted.
     now : int
-        The present time in milliseconds.
+        Current time in milliseconds.
 
     Raises
     ------
     ValueError
-        If the counts are not one for each expert, or ``span`` is not positive.
+        If there is not one count for each expert, or ``span`` is not positive.
 
     Examples
     --------
@@ -75,17 +80,17 @@
     if len(counts) != len(popularity.rates):
         raise ValueError(
             f"got {len(counts)} counts for {len(popularity.rates)} experts; "
-            "give one for each expert of the layer"
+            "pass one for each expert of the layer"
         )
     if span <= 0:
-        raise ValueError(f"counts need a span above 0 ms, not {span}")
-    fresh = [count * SECOND / span for count in counts]
+        raise ValueError(f"the span must be greater than 0 ms, not {span}")
+    observed_rates = [count * SECOND / span for count in counts]
     if popularity.observed_at is None:
-        return Popularity(tuple(fresh), now, popularity.time_constant)
+        return Popularity(tuple(observed_rates), now, popularity.time_constant)
     elapsed = max(0, now - popularity.observed_at)
     weight = 1.0 - math.exp(-elapsed / popularity.time_constant)
     rates = tuple(
         old + weight * (new - old)
-        for old, new in zip(popularity.rates, fresh, strict=True)
+        for old, new in zip(popularity.rates, observed_rates, strict=True)
     )
     return Popularity(rates, now, popularity.time_constant)
--- a/src/azurefold/core/balance/proposal.py
+++ b/src/azurefold/core/balance/proposal.py
@@ -1,4 +1,4 @@
-"""What a decision of the balance came to, with the reasons."""
+"""The result of a balance decision, with the reason for each evaluated move."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -7,11 +7,11 @@
 from azurefold.core.balance.placement import Assignment
 from azurefold.core.balance.straggler import Straggler
 
-__all__ = ["EvaluatedMove", "LayerProposal", "LayerView", "Proposal", "MoveReason"]
+__all__ = ["EvaluatedMove", "LayerProposal", "LayerView", "MoveReason", "Proposal"]
 
 
 class MoveReason(Enum):
-    """Why a move was taken, or was not."""
+    """Why a move was accepted or rejected."""
 
     GAIN_ABOVE_COST = "its gain pays for it"
     NO_GAIN = "it would not lower the slowest rank"
@@ -25,18 +25,18 @@
 
 @dataclass(frozen=True, slots=True)
 class LayerView:
-    """What is known of one layer when a decision is due.
+    """The state of one layer on which a decision is based.
 
     Parameters
     ----------
     layer : int
         Number of the layer.
     rates : tuple of float
-        Popularity of each expert in tokens a second.
+        Popularity of each expert in tokens per second.
     assignment : Assignment
-        Placement and shares in force.
+        Active placement and shares.
     speeds : tuple of float
-        Speed of each rank; 1.0 is that of a sound one.
+        Speed of each rank; 1.0 is that of a healthy one.
     """
 
     layer: int
@@ -47,18 +47,18 @@
 
 @dataclass(frozen=True, slots=True)
 class EvaluatedMove:
-    """A move that was tried, and the verdict.
+    """A move with its gain, its cost and the decision on it.
 
     Parameters
     ----------
     move : Move
-        What was tried.
+        The evaluated move.
     gain : float
-        Price of the excess that it saves over the life of the drift.
+        Cost of the excess that it avoids over the placement lifetime.
     cost : float
-        Price of its weight loads at the present time of day.
+        Cost of its weight loads at the present time of day.
     reason : MoveReason
-        Why it was taken or not.
+        Why it was accepted or rejected.
     """
 
     move: Move
@@ -74,14 +74,14 @@
     Parameters
     ----------
     view : LayerView
-        What was decided on.
+        State on which the decision is based.
     assignment : Assignment
-        Placement and shares proposed; those of the view if nothing changes.
+        Proposed placement and shares; those of the view if nothing changes.
     excess_before, excess_after_resharing, excess_after : float
-        Excess of the slowest rank over the lower bound as it is, with new shares
-        alone, and as proposed.
+        Excess of the slowest rank over the lower bound at present, with new shares
+        alone, and under the proposal.
     accepted, rejected : tuple of EvaluatedMove
-        The moves in the order in which they were tried.
+        Moves in the order in which they were evaluated.
     """
 
     view: LayerView
@@ -94,7 +94,7 @@
 
     @property
     def is_changed(self) -> bool:
-        """Whether a new map has to be put in force."""
+        """Whether the proposal needs a new map."""
         return self.assignment is not self.view.assignment
 
 
@@ -107,11 +107,11 @@
     layers : tuple of LayerProposal
         One for each layer, in the order of the views.
     move_factor : float
-        By how much moves are dearer at this time of day.
+        Multiplier for the cost of moves at the present time of day.
     weight_loads_used, weight_loads_allowed : int
-        Weight loads that the taken moves need, and the limit of the interval.
+        Weight loads of the accepted moves, and the limit for the interval.
     stragglers : tuple of Straggler
-        Ranks that are slow as such.
+        Ranks that are slow regardless of their load.
     """
 
     layers: tuple[LayerProposal, ...]
--- a/src/azurefold/core/balance/search.py
+++ b/src/azurefold/core/balance/search.py
@@ -1,10 +1,10 @@
-"""Decide which moves pay: small improvements in place of full re-packs."""
+"""Decides which moves are worth their cost, as an alternative to full re-packing."""
 
 import math
 from collections.abc import Sequence
 from dataclasses import dataclass, field, replace
 
-from azurefold.core.balance.candidates import find_candidate_moves, slow_count
+from azurefold.core.balance.candidates import count_slowest_ranks, find_candidate_moves
 from azurefold.core.balance.moves import Move, apply_move, count_weight_loads
 from azurefold.core.balance.policy import BalancePolicy, ReplicaSplit, move_factor
 from azurefold.core.balance.proposal import (
@@ -23,7 +23,7 @@
 from azurefold.core.balance.straggler import Straggler
 from azurefold.core.clock import Millis
 
-__all__ = ["compute_cost", "propose_rebalance", "propose_layer"]
+__all__ = ["compute_cost", "propose_layer", "propose_rebalance"]
 
 _TRIAL_SWEEPS = 6
 _MAX_ROUNDS = 3
@@ -31,27 +31,31 @@
 
 
 def compute_cost(
-    policy: BalancePolicy, excess: float, loads: int, factor: float
+    policy: BalancePolicy, excess: float, weight_loads: int, factor: float
 ) -> float:
-    """Return the price of an excess kept and weight loads made; lower is better.
+    """Return the cost of the remaining excess and of the weight loads together.
 
     Parameters
     ----------
     policy : BalancePolicy
-        The weights.
+        Weights of excess and moves.
     excess : float
         Excess of the slowest rank over the lower bound.
-    loads : int
-        Weights fetched from the store.
+    weight_loads : int
+        Experts whose weights are fetched from the store.
     factor : float
-        By how much moves are dearer now.
+        Multiplier for the cost of moves.
     """
-    return policy.excess_cost * excess + _cost(policy, loads, factor)
+    return policy.excess_cost * excess + _compute_move_cost(
+        policy, weight_loads, factor
+    )
 
 
-def _cost(policy: BalancePolicy, loads: int, factor: float) -> float:
-    # 0 * inf is not a number: what loads nothing costs nothing in any window.
-    return policy.move_weight * loads * factor if loads else 0.0
+def _compute_move_cost(
+    policy: BalancePolicy, weight_loads: int, factor: float
+) -> float:
+    # 0 * inf is NaN. Moves that load no weights are free, whatever the factor is.
+    return policy.move_weight * weight_loads * factor if weight_loads else 0.0
 
 
 def propose_rebalance(
@@ -65,31 +69,36 @@
     Parameters
     ----------
     views : sequence of LayerView
-        The layers; they share the limit of weight loads.
+        State of the layers; they share the limit on weight loads.
     policy : BalancePolicy
-        What the service asks for.
+        Weights and limits of the service.
     time_of_day : int
-        Milliseconds since midnight, local to the service.
+        Milliseconds since midnight in the service's local time.
     stragglers : tuple of Straggler
-        Ranks found slow, for the report; their speeds are in the views.
+        Slow ranks, copied to the proposal. Their speeds are part of the views.
     """
-    left = policy.max_weight_loads
-    decided: dict[int, LayerProposal] = {}
-    for index in sorted(range(len(views)), key=lambda i: (-_excess(views[i]), i)):
-        decided[index] = propose_layer(views[index], policy, time_of_day, left)
-        left -= sum(
-            count_weight_loads(judged.move) for judged in decided[index].accepted
+    weight_loads_left = policy.max_weight_loads
+    proposals: dict[int, LayerProposal] = {}
+    for index in sorted(
+        range(len(views)), key=lambda i: (-_compute_excess(views[i]), i)
+    ):
+        proposals[index] = propose_layer(
+            views[index], policy, time_of_day, weight_loads_left
+        )
+        weight_loads_left -= sum(
+            count_weight_loads(evaluated.move)
+            for evaluated in proposals[index].accepted
         )
     return Proposal(
-        layers=tuple(decided[index] for index in range(len(views))),
+        layers=tuple(proposals[index] for index in range(len(views))),
         move_factor=move_factor(policy, time_of_day),
-        weight_loads_used=policy.max_weight_loads - left,
+        weight_loads_used=policy.max_weight_loads - weight_loads_left,
         weight_loads_allowed=policy.max_weight_loads,
         stragglers=stragglers,
     )
 
 
-def _excess(view: LayerView) -> float:
+def _compute_excess(view: LayerView) -> float:
     return build_layer_loads(view.assignment, view.rates, view.speeds).excess
 
 
@@ -98,49 +107,54 @@
 ) -> LayerProposal:
     """Decide on one layer.
 
-    Shares are split anew first, which fetches no weights. Then one move at a
-    time is taken while the best one tried pays for itself.
+    The shares are recomputed first, because that fetches no weights. Then moves are
+    accepted, the best of each round first, while their gain exceeds their cost.
 
     Parameters
     ----------
     view : LayerView
-        The layer.
+        State of the layer.
     policy : BalancePolicy
-        What the service asks for.
+        Weights and limits of the service.
     time_of_day : int
-        Milliseconds since midnight, local to the service.
+        Milliseconds since midnight in the service's local time.
     weight_loads_left : int
-        Weight loads that may still be made in this interval.
+        Weight loads that remain in this interval.
     """
     state = build_layer_loads(view.assignment, view.rates, view.speeds)
-    before = state.excess
-    if before <= policy.tolerated_excess:
-        return LayerProposal(view, view.assignment, before, before, before, (), ())
-    _split(state, policy.split)
-    shared = state.excess
-    search = _Search(
+    excess_before = state.excess
+    if excess_before <= policy.tolerated_excess:
+        return LayerProposal(
+            view, view.assignment, excess_before, excess_before, excess_before, (), ()
+        )
+    _split_loads(state, policy.split)
+    excess_after_resharing = state.excess
+    search = _MoveSearch(
         view, policy, move_factor(policy, time_of_day), weight_loads_left, state
     )
     search.run()
-    after = search.state.excess
-    worth_a_map = before - shared > policy.min_reshare_gain or search.taken
-    if not worth_a_map:
-        assignment, after = view.assignment, before
+    excess_after = search.state.excess
+    needs_new_map = (
+        excess_before - excess_after_resharing > policy.min_reshare_gain
+        or search.accepted
+    )
+    if not needs_new_map:
+        assignment, excess_after = view.assignment, excess_before
     else:
-        slots = view.assignment.placement.slots_per_rank
-        assignment = build_assignment(search.state, slots)
+        slots_per_rank = view.assignment.placement.slots_per_rank
+        assignment = build_assignment(search.state, slots_per_rank)
     return LayerProposal(
         view=view,
         assignment=assignment,
-        excess_before=before,
-        excess_after_resharing=shared,
-        excess_after=after,
-        accepted=tuple(search.taken),
-        rejected=search.left,
+        excess_before=excess_before,
+        excess_after_resharing=excess_after_resharing,
+        excess_after=excess_after,
+        accepted=tuple(search.accepted),
+        rejected=search.last_rejections,
     )
 
 
-def _split(
+def _split_loads(
     state: LayerLoads, split: ReplicaSplit, max_sweeps: int | None = None
 ) -> None:
     match split:
@@ -149,147 +163,171 @@
         case ReplicaSplit.LEVEL:
             balance_replica_loads(state, max_sweeps)
         case ReplicaSplit.EVEN:
-            _split_evenly(state)
+            _split_loads_evenly(state)
 
 
-def _split_evenly(state: LayerLoads) -> None:
-    state.totals = [0.0] * len(state.totals)
+def _split_loads_evenly(state: LayerLoads) -> None:
+    state.rank_loads = [0.0] * len(state.rank_loads)
     for expert, hosts in enumerate(state.hosts):
-        part = state.loads[expert] / len(hosts)
-        state.parts[expert] = [part] * len(hosts)
+        load = state.expert_loads[expert] / len(hosts)
+        state.replica_loads[expert] = [load] * len(hosts)
         for rank in hosts:
-            state.totals[rank] += part
+            state.rank_loads[rank] += load
 
 
 @dataclass(frozen=True, slots=True)
 class _Trial:
-    """A move, and the state that it leads to."""
+    """An evaluated move and the state that results from it."""
 
-    judged: EvaluatedMove
+    evaluated: EvaluatedMove
     state: LayerLoads
 
 
 @dataclass(slots=True)
-class _Search:
-    """The moves tried on one layer so far."""
+class _MoveSearch:
+    """The state of the search for moves in one layer."""
 
     view: LayerView
     policy: BalancePolicy
     factor: float
     weight_loads_left: int
     state: LayerLoads
-    taken: list[EvaluatedMove] = field(default_factory=list)
-    not_taken: list[EvaluatedMove] = field(default_factory=list)
-    tried: int = 0
+    accepted: list[EvaluatedMove] = field(default_factory=list)
+    rejected: list[EvaluatedMove] = field(default_factory=list)
+    trial_count: int = 0
 
     @property
-    def left(self) -> tuple[EvaluatedMove, ...]:
-        """The moves tried and not taken, each with the verdict it got last."""
-        last = {judged.move: judged for judged in self.not_taken}
-        taken = {judged.move for judged in self.taken}
-        return tuple(j for move, j in last.items() if move not in taken)
+    def last_rejections(self) -> tuple[EvaluatedMove, ...]:
+        """The last evaluation of each move that was tried but never accepted."""
+        last = {evaluated.move: evaluated for evaluated in self.rejected}
+        accepted = {evaluated.move for evaluated in self.accepted}
+        return tuple(
+            evaluated for move, evaluated in last.items() if move not in accepted
+        )
 
     def run(self) -> None:
-        """Take the best move of each round until none pays."""
+        """Accept the best move of each round until no move is worth its cost."""
         for _ in range(_MAX_ROUNDS):
             if self.state.excess <= self.policy.tolerated_excess:
                 return
-            if not self._take_best():
+            if not self._accept_best():
                 return
 
-    def _take_best(self) -> bool:
-        trials = self._trials(self.state)
-        paying = [
+    def _accept_best(self) -> bool:
+        trials = self._try_candidates(self.state)
+        profitable = [
             trial
             for trial in trials
-            if trial.judged.reason is MoveReason.GAIN_ABOVE_COST
+            if trial.evaluated.reason is MoveReason.GAIN_ABOVE_COST
+        ]
+        best = max(profitable, key=_net_gain, default=None)
+        accepted = [best] if best else self._find_profitable_pair(trials)
+        self.rejected += [
+            _mark_outperformed(trial.evaluated)
+            for trial in trials
+            if trial not in accepted
         ]
-        best = max(paying, key=_surplus, default=None)
-        taken = [best] if best else self._paying_pair(trials)
-        self.not_taken += [_second(t.judged) for t in trials if t not in taken]
-        if not taken:
+        if not accepted:
             return False
-        self.taken += [trial.judged for trial in taken]
+        self.accepted += [trial.evaluated for trial in accepted]
         self.weight_loads_left -= sum(
-            count_weight_loads(trial.judged.move) for trial in taken
+            count_weight_loads(trial.evaluated.move) for trial in accepted
         )
-        self.state = taken[-1].state
-        _split(self.state, self.policy.split)
+        self.state = accepted[-1].state
+        _split_loads(self.state, self.policy.split)
         return True
 
-    def _trials(self, start: LayerLoads) -> list[_Trial]:
-        slots = self.view.assignment.placement.slots_per_rank
-        moves = find_candidate_moves(start, slots, self.policy.split)
-        # Each trial costs about a millisecond. Without a limit a layer far from
-        # level holds up all others; what is left waits for the next decision.
-        moves = moves[: _MAX_TRIALS - self.tried]
-        self.tried += len(moves)
-        return [self._try(move, start) for move in moves]
+    def _try_candidates(self, start: LayerLoads) -> list[_Trial]:
+        slots_per_rank = self.view.assignment.placement.slots_per_rank
+        moves = find_candidate_moves(start, slots_per_rank, self.policy.split)
+        # A trial takes about a millisecond. Without a limit, a badly skewed layer
+        # would delay all others. The next decision tries the remaining moves.
+        moves = moves[: _MAX_TRIALS - self.trial_count]
+        self.trial_count += len(moves)
+        return [self._try_move(move, start) for move in moves]
 
-    def _try(self, move: Move, start: LayerLoads) -> _Trial:
+    def _try_move(self, move: Move, start: LayerLoads) -> _Trial:
         state = start.copy()
         apply_move(state, move)
-        _split(state, self.policy.split, _TRIAL_SWEEPS)
-        saved = self.state.excess - state.excess
-        gain = self.policy.excess_cost * saved
-        loads = count_weight_loads(move)
-        cost = _cost(self.policy, loads, self.factor)
-        return _Trial(EvaluatedMove(move, gain, cost, self._judge(loads, gain)), state)
-
-    def _paying_pair(self, trials: list[_Trial]) -> list[_Trial]:
-        """Return two moves that pay only together, or nothing.
-
-        What goes wrong without: two experts become equally hot on two ranks.
-        Relieving either leaves the other as slow, so neither move gains
-        anything, and the group stays slow for as long as they stay alike.
+        _split_loads(state, self.policy.split, _TRIAL_SWEEPS)
+        excess_reduction = self.state.excess - state.excess
+        gain = self.policy.excess_cost * excess_reduction
+        weight_loads = count_weight_loads(move)
+        cost = _compute_move_cost(self.policy, weight_loads, self.factor)
+        return _Trial(
+            EvaluatedMove(move, gain, cost, self._classify(weight_loads, gain)), state
+        )
+
+    def _find_profitable_pair(self, trials: list[_Trial]) -> list[_Trial]:
+        """Return two moves that are worth their cost only together, or nothing.
+
+        Two experts on two ranks can become equally hot. Relieving one rank leaves the
+        other as slow as before, so neither move has a gain of its own. Without pairs
+        the group would stay slow for as long as both experts are equally hot.
         """
-        before = slow_count(self.state)
-        halves = [t for t in trials if slow_count(t.state) < before]
-        if not halves or math.isinf(self.factor):
+        slowest_count = count_slowest_ranks(self.state)
+        first_moves = [
+            trial
+            for trial in trials
+            if count_slowest_ranks(trial.state) < slowest_count
+        ]
+        if not first_moves or math.isinf(self.factor):
             return []
-        first = min(halves, key=lambda trial: slow_count(trial.state))
-        pairs = [self._pair(first, then) for then in self._trials(first.state)]
-        paying = [
+        first = min(first_moves, key=lambda trial: count_slowest_ranks(trial.state))
+        pairs = [
+            self._evaluate_pair(first, second)
+            for second in self._try_candidates(first.state)
+        ]
+        profitable = [
             pair
             for pair in pairs
-            if pair[0].judged.reason is MoveReason.GAIN_ABOVE_COST
+            if pair[0].evaluated.reason is MoveReason.GAIN_ABOVE_COST
+        ]
+        return max(profitable, key=lambda pair: _net_gain(pair[0]), default=[])
+
+    def _evaluate_pair(self, first: _Trial, second: _Trial) -> list[_Trial]:
+        """Evaluate two moves as one; split the gain in proportion to weight loads."""
+        moves = (first.evaluated.move, second.evaluated.move)
+        weight_loads = [count_weight_loads(move) for move in moves]
+        reason = self._classify(sum(weight_loads), second.evaluated.gain)
+        if not all(weight_loads):
+            return [
+                _Trial(
+                    replace(second.evaluated, reason=MoveReason.NO_GAIN), second.state
+                )
+            ]
+        gains = [
+            second.evaluated.gain * count / sum(weight_loads) for count in weight_loads
+        ]
+        costs = [
+            _compute_move_cost(self.policy, count, self.factor)
+            for count in weight_loads
         ]
-        return max(paying, key=lambda pair: _surplus(pair[0]), default=[])
-
-    def _pair(self, first: _Trial, then: _Trial) -> list[_Trial]:
-        """Judge two moves as one, their gain shared out by their weight loads."""
-        moves = (first.judged.move, then.judged.move)
-        loads = [count_weight_loads(move) for move in moves]
-        reason = self._judge(sum(loads), then.judged.gain)
-        if not all(loads):
-            return [_Trial(replace(then.judged, reason=MoveReason.NO_GAIN), then.state)]
-        gains = [then.judged.gain * part / sum(loads) for part in loads]
-        costs = [_cost(self.policy, part, self.factor) for part in loads]
-        states = (first.state, then.state)
+        states = (first.state, second.state)
         return [
             _Trial(EvaluatedMove(move, gain, cost, reason), state)
             for move, gain, cost, state in zip(moves, gains, costs, states, strict=True)
         ]
 
-    def _judge(self, loads: int, gain: float) -> MoveReason:
+    def _classify(self, weight_loads: int, gain: float) -> MoveReason:
         if gain <= 0:
             return MoveReason.NO_GAIN
-        if gain <= _cost(self.policy, loads, 1.0):
+        if gain <= _compute_move_cost(self.policy, weight_loads, 1.0):
             return MoveReason.GAIN_BELOW_COST
-        if gain <= _cost(self.policy, loads, self.factor):
+        if gain <= _compute_move_cost(self.policy, weight_loads, self.factor):
             return MoveReason.WINDOW_TOO_COSTLY
-        if loads > self.weight_loads_left:
+        if weight_loads > self.weight_loads_left:
             return MoveReason.LOAD_LIMIT_REACHED
         return MoveReason.GAIN_ABOVE_COST
 
 
-def _surplus(trial: _Trial) -> float:
-    return trial.judged.gain - trial.judged.cost
+def _net_gain(trial: _Trial) -> float:
+    return trial.evaluated.gain - trial.evaluated.cost
 
 
-def _second(judged: EvaluatedMove) -> EvaluatedMove:
-    if judged.reason is not MoveReason.GAIN_ABOVE_COST:
-        return judged
+def _mark_outperformed(evaluated: EvaluatedMove) -> EvaluatedMove:
+    if evaluated.reason is not MoveReason.GAIN_ABOVE_COST:
+        return evaluated
     return EvaluatedMove(
-        judged.move, judged.gain, judged.cost, MoveReason.OTHER_MOVE_CHOSEN
+        evaluated.move, evaluated.gain, evaluated.cost, MoveReason.OTHER_MOVE_CHOSEN
     )
--- a/src/azurefold/core/balance/shares.py
+++ b/src/azurefold/core/balance/shares.py
@@ -1,4 +1,4 @@
-"""ReplicaSplit the load of replicated experts so that the ranks come out level."""
+"""Splits the load of replicated experts so that the ranks finish at similar times."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -14,62 +14,62 @@
 ]
 
 _MAX_SWEEPS = 60
-_CONVERGED = 2e-4
+_CONVERGENCE_TOLERANCE = 2e-4
 
 
 @dataclass(slots=True)
 class LayerLoads:
-    """Loads of all ranks under one placement, open to change.
+    """Mutable loads of the experts, replicas and ranks of one layer.
 
     Parameters
     ----------
-    loads : list of float
+    expert_loads : list of float
         Load of each expert.
     speeds : list of float
-        Speed of each rank; 1.0 is that of a sound one.
+        Speed of each rank; 1.0 is that of a healthy one.
     hosts : list of list of int
-        For each expert the ranks that hold it.
-    parts : list of list of float
-        For each expert the load that each of its hosts takes.
-    totals : list of float
+        Ranks that hold each expert.
+    replica_loads : list of list of float
+        Load of each expert's replicas, in the order of its hosts.
+    rank_loads : list of float
         Load of each rank.
     """
 
-    loads: list[float]
+    expert_loads: list[float]
     speeds: list[float]
     hosts: list[list[int]]
-    parts: list[list[float]]
-    totals: list[float]
+    replica_loads: list[list[float]]
+    rank_loads: list[float]
 
     @property
-    def slowest(self) -> float:
-        """Time of the slowest rank, in load over speed."""
-        pairs = zip(self.totals, self.speeds, strict=True)
-        return max(total / speed for total, speed in pairs)
+    def slowest_time(self) -> float:
+        """Time of the slowest rank, as load over speed."""
+        pairs = zip(self.rank_loads, self.speeds, strict=True)
+        return max(load / speed for load, speed in pairs)
 
     @property
-    def ideal(self) -> float:
-        """Lower bound of the slowest rank: all load split at will."""
-        return sum(self.loads) / sum(self.speeds)
+    def ideal_time(self) -> float:
+        """Lower bound of the slowest time, if load could be split arbitrarily."""
+        return sum(self.expert_loads) / sum(self.speeds)
 
     @property
     def excess(self) -> float:
-        """By which share the slowest rank is above the lower bound."""
-        return compute_excess(self.totals, self.speeds)
+        """Fraction by which the slowest time exceeds the lower bound."""
+        return compute_excess(self.rank_loads, self.speeds)
 
     def copy(self) -> "LayerLoads":
-        """Return a copy in which hosts and parts can be changed freely."""
+        """Return a copy whose hosts and loads can be changed independently."""
         return LayerLoads(
-            self.loads,
+            self.expert_loads,
             self.speeds,
             [list(hosts) for hosts in self.hosts],
-            [list(parts) for parts in self.parts],
-            list(self.totals),
+            [list(loads) for loads in self.replica_loads],
+            list(self.rank_loads),
         )
 
 
 def compute_excess(rank_loads: Sequence[float], speeds: Sequence[float]) -> float:
-    """Return by which share the slowest rank is above the fractional lower bound.
+    """Return the fraction by which the slowest time exceeds the lower bound.
 
     Examples
     --------
@@ -80,99 +80,114 @@
     if total <= 0:
         return 0.0
     pairs = zip(rank_loads, speeds, strict=True)
-    slowest = max(load / speed for load, speed in pairs)
-    return slowest * sum(speeds) / total - 1.0
+    slowest_time = max(load / speed for load, speed in pairs)
+    return slowest_time * sum(speeds) / total - 1.0
 
 
 def build_layer_loads(
     assignment: Assignment, loads: Sequence[float], speeds: Sequence[float]
 ) -> LayerLoads:
-    """Return the loads of all ranks under ``assignment``."""
-    hosts = [list(of_expert) for of_expert in assignment.placement.hosts]
-    parts = [
+    """Return the loads that result from ``assignment``."""
+    hosts = [list(ranks) for ranks in assignment.placement.hosts]
+    replica_loads = [
         [load * share for share in shares]
         for load, shares in zip(loads, assignment.shares, strict=True)
     ]
-    totals = assignment.rank_loads(loads)
-    return LayerLoads(list(loads), list(speeds), hosts, parts, totals)
+    rank_loads = assignment.rank_loads(loads)
+    return LayerLoads(list(loads), list(speeds), hosts, replica_loads, rank_loads)
 
 
 def balance_replica_loads(state: LayerLoads, max_sweeps: int = _MAX_SWEEPS) -> None:
-    """Move load between replicas until the slowest rank gains no more.
+    """Shift load between replicas until the rank loads converge.
 
-    One expert at a time is filled like water over its hosts. Each filling lowers
-    a convex sum, so the sweeps go to the best split; they end when a sweep
-    changes no rank by more than 0.02% of the slowest. To stop when the slowest
-    alone stands still would end too early: several ranks tied for the slowest
-    hold it up until load has found its way through the others.
+    Each sweep distributes one expert after the other over its hosts by water-filling.
+    Every such step lowers a convex sum, so the sweeps converge to the optimal split.
+    They end when a sweep changes no rank's load by more than 0.02% of the largest one.
+
+    It would be too early to stop once the slowest time stays the same. While several
+    ranks tie for the slowest, it does not change until load has moved through the
+    other ranks.
     """
-    replicated = [e for e, hosts in enumerate(state.hosts) if len(hosts) > 1]
+    replicated = [expert for expert, hosts in enumerate(state.hosts) if len(hosts) > 1]
     for _ in range(max_sweeps):
-        before = list(state.totals)
+        before = list(state.rank_loads)
         for expert in replicated:
-            _fill(state, expert)
+            _water_fill(state, expert)
         change = max(
-            abs(new - old) for new, old in zip(state.totals, before, strict=True)
+            abs(new - old) for new, old in zip(state.rank_loads, before, strict=True)
         )
-        if change <= _CONVERGED * max(state.totals):
+        if change <= _CONVERGENCE_TOLERANCE * max(state.rank_loads):
             return
 
 
-def _fill(state: LayerLoads, expert: int) -> None:
+def _water_fill(state: LayerLoads, expert: int) -> None:
+    """Split one expert's load so that the hosts that take some finish together."""
     hosts = state.hosts[expert]
     if len(hosts) == 2:
-        _fill_two(state, expert)
+        _water_fill_two_hosts(state, expert)
         return
-    totals, speeds, parts = state.totals, state.speeds, state.parts[expert]
+    rank_loads, speeds, replica_loads = (
+        state.rank_loads,
+        state.speeds,
+        state.replica_loads[expert],
+    )
     for index, rank in enumerate(hosts):
-        totals[rank] -= parts[index]
-    water = state.loads[expert]
-    speed = 0.0
-    height = 0.0
-    for ground, rank in sorted([(totals[rank] / speeds[rank], rank) for rank in hosts]):
-        if speed and ground >= height:
+        rank_loads[rank] -= replica_loads[index]
+    total_load = state.expert_loads[expert]
+    total_speed = 0.0
+    finish_time = 0.0
+    for base_time, rank in sorted(
+        [(rank_loads[rank] / speeds[rank], rank) for rank in hosts]
+    ):
+        if total_speed and base_time >= finish_time:
             break
-        water += totals[rank]
-        speed += speeds[rank]
-        height = water / speed
+        total_load += rank_loads[rank]
+        total_speed += speeds[rank]
+        finish_time = total_load / total_speed
     for index, rank in enumerate(hosts):
-        part = max(0.0, height * speeds[rank] - totals[rank])
-        parts[index] = part
-        totals[rank] += part
-
-
-def _fill_two(state: LayerLoads, expert: int) -> None:
-    """Do the same for two hosts, the common case, without sorting."""
-    one, two = state.hosts[expert]
-    parts = state.parts[expert]
-    totals, speeds = state.totals, state.speeds
-    load = state.loads[expert]
-    base_one = totals[one] - parts[0]
-    base_two = totals[two] - parts[1]
-    height = (load + base_one + base_two) / (speeds[one] + speeds[two])
-    part = min(load, max(0.0, height * speeds[one] - base_one))
-    parts[0] = part
-    parts[1] = load - part
-    totals[one] = base_one + part
-    totals[two] = base_two + parts[1]
+        load = max(0.0, finish_time * speeds[rank] - rank_loads[rank])
+        replica_loads[index] = load
+        rank_loads[rank] += load
+
+
+def _water_fill_two_hosts(state: LayerLoads, expert: int) -> None:
+    """Handle the common case of two hosts, without sorting."""
+    first, second = state.hosts[expert]
+    replica_loads = state.replica_loads[expert]
+    rank_loads, speeds = state.rank_loads, state.speeds
+    expert_load = state.expert_loads[expert]
+    first_base = rank_loads[first] - replica_loads[0]
+    second_base = rank_loads[second] - replica_loads[1]
+    finish_time = (expert_load + first_base + second_base) / (
+        speeds[first] + speeds[second]
+    )
+    first_load = min(expert_load, max(0.0, finish_time * speeds[first] - first_base))
+    replica_loads[0] = first_load
+    replica_loads[1] = expert_load - first_load
+    rank_loads[first] = first_base + first_load
+    rank_loads[second] = second_base + replica_loads[1]
 
 
 def build_assignment(state: LayerLoads, slots_per_rank: int) -> Assignment:
-    """Return the placement and shares that ``state`` has come to."""
-    ranks: list[list[int]] = [[] for _ in state.totals]
+    """Return the placement and shares that correspond to ``state``."""
+    ranks: list[list[int]] = [[] for _ in state.rank_loads]
     shares = []
     for expert, hosts in enumerate(state.hosts):
         for rank in hosts:
             ranks[rank].append(expert)
-        shares.append(_shares(state, expert))
-    placement = Placement(len(state.loads), slots_per_rank, tuple(map(tuple, ranks)))
+        shares.append(_compute_shares(state, expert))
+    placement = Placement(
+        len(state.expert_loads), slots_per_rank, tuple(map(tuple, ranks))
+    )
     return Assignment(placement, tuple(shares))
 
 
-def _shares(state: LayerLoads, expert: int) -> tuple[float, ...]:
+def _compute_shares(state: LayerLoads, expert: int) -> tuple[float, ...]:
     hosts = state.hosts[expert]
-    parts = [part for _, part in sorted(zip(hosts, state.parts[expert], strict=True))]
-    total = sum(parts)
+    loads = [
+        load for _, load in sorted(zip(hosts, state.replica_loads[expert], strict=True))
+    ]
+    total = sum(loads)
     if total <= 0:
         return (1.0 / len(hosts),) * len(hosts)
-    return tuple(part / total for part in parts)
+    return tuple(load / total for load in loads)
--- a/src/azurefold/core/balance/straggler.py
+++ b/src/azurefold/core/balance/straggler.py
@@ -1,4 +1,4 @@
-"""Find ranks that are slow as such, whatever load they carry."""
+"""Detects ranks that are slow regardless of their load."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -9,49 +9,49 @@
 __all__ = [
     "RankPace",
     "Straggler",
+    "find_stragglers",
     "initial_paces",
-    "update_paces",
     "planning_speeds",
-    "find_stragglers",
+    "update_paces",
 ]
 
-SLOW_FROM = 1.15
-SOUND_BELOW = 1.08
-CONSECUTIVE = 3
-_FRESH_WEIGHT = 0.4
+SLOW_THRESHOLD = 1.15
+HEALTHY_THRESHOLD = 1.08
+CONSECUTIVE_OBSERVATIONS = 3
+_SMOOTHING_WEIGHT = 0.4
 
 
 @dataclass(frozen=True, slots=True)
 class RankPace:
-    """What is known of one rank's pace.
+    """The observed pace of one rank.
 
     Parameters
     ----------
     slowdown : float
-        Smoothed time per token over the median of all ranks; 1.0 is sound.
-    against : int
-        Observations in a row that speak against the present verdict.
+        Smoothed time per token over the median of all ranks; 1.0 is healthy.
+    contradicting : int
+        Consecutive observations that contradict the present classification.
     slow_since : int or None
-        When the rank was found slow, in milliseconds; None while it is sound.
+        When the rank was classified as slow, in milliseconds; None while healthy.
     """
 
     slowdown: float = 1.0
-    against: int = 0
+    contradicting: int = 0
     slow_since: Millis | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class Straggler:
-    """A rank to report: the whole group waits for it.
+    """A slow rank for which the whole group has to wait.
 
     Parameters
     ----------
     rank : int
-        Which rank.
+        Number of the rank.
     slowdown : float
         Its time per token over the median of all ranks.
     slow_for : int
-        Milliseconds since it was found slow.
+        Milliseconds since it was classified as slow.
     """
 
     rank: int
@@ -60,7 +60,7 @@
 
 
 def initial_paces(n_ranks: int) -> tuple[RankPace, ...]:
-    """Return the paces of a group in which every rank counts as sound."""
+    """Return the paces of a group in which every rank is assumed to be healthy."""
     return (RankPace(),) * n_ranks
 
 
@@ -70,64 +70,66 @@
     times: Sequence[float],
     now: Millis,
 ) -> tuple[RankPace, ...]:
-    """Take in own compute times of one step, without the wait for others.
+    """Return the paces updated with the compute times of one step.
 
-    A rank's verdict changes only after three observations in a row. What would
-    go wrong with one: a single pause of the VM takes load from a sound rank,
-    seen as weight loads to and fro. The two thresholds lie apart for the same
-    reason.
+    A rank's classification changes only after three consecutive observations, and
+    the thresholds for slow and healthy differ. Otherwise a single pause of the VM
+    would take load from a healthy rank, and its experts would be loaded elsewhere
+    and back again.
 
     Parameters
     ----------
     paces : tuple of RankPace
-        What was known before.
+        Paces before the step.
     loads : sequence of float
-        Tokens that each rank worked on.
+        Tokens that each rank processed.
     times : sequence of float
-        Time that each rank needed for them, in any one unit.
+        Compute time of each rank without waits for other ranks, in any unit.
     now : int
-        The present time in milliseconds.
+        Current time in milliseconds.
 
     Raises
     ------
     ValueError
-        If loads or times are not one for each rank.
+        If there is not one load and one time for each rank.
     """
     if not len(paces) == len(loads) == len(times):
         raise ValueError(
             f"got {len(loads)} loads and {len(times)} times for {len(paces)} ranks; "
-            "give one of each for every rank"
+            "pass one of each for every rank"
         )
-    unit_times = [
+    token_times = [
         time / load if load > 0 else None
         for load, time in zip(loads, times, strict=True)
     ]
-    known = [unit for unit in unit_times if unit is not None]
-    middle = median(known) if known else 0.0
-    if middle <= 0:
+    known_times = [token_time for token_time in token_times if token_time is not None]
+    median_time = median(known_times) if known_times else 0.0
+    if median_time <= 0:
         return paces
     return tuple(
-        pace if unit is None else _observe_rank(pace, unit / middle, now)
-        for pace, unit in zip(paces, unit_times, strict=True)
+        pace
+        if token_time is None
+        else _update_rank(pace, token_time / median_time, now)
+        for pace, token_time in zip(paces, token_times, strict=True)
     )
 
 
-def _observe_rank(pace: RankPace, slowdown: float, now: Millis) -> RankPace:
-    smoothed = pace.slowdown + _FRESH_WEIGHT * (slowdown - pace.slowdown)
+def _update_rank(pace: RankPace, slowdown: float, now: Millis) -> RankPace:
+    smoothed = pace.slowdown + _SMOOTHING_WEIGHT * (slowdown - pace.slowdown)
     if pace.slow_since is None:
-        speaks_against = slowdown >= SLOW_FROM
+        is_contradicting = slowdown >= SLOW_THRESHOLD
     else:
-        speaks_against = slowdown < SOUND_BELOW
-    against = pace.against + 1 if speaks_against else 0
-    if against < CONSECUTIVE:
-        return RankPace(smoothed, against, pace.slow_since)
+        is_contradicting = slowdown < HEALTHY_THRESHOLD
+    contradicting = pace.contradicting + 1 if is_contradicting else 0
+    if contradicting < CONSECUTIVE_OBSERVATIONS:
+        return RankPace(smoothed, contradicting, pace.slow_since)
     if pace.slow_since is None:
         return RankPace(smoothed, 0, now)
     return RankPace(smoothed, 0, None)
 
 
 def planning_speeds(paces: tuple[RankPace, ...]) -> tuple[float, ...]:
-    """Return the speed to plan with for each rank; 1.0 unless it is slow."""
+    """Return the speed to assume for each rank; 1.0 unless it is slow."""
     return tuple(
         1.0 if pace.slow_since is None else 1.0 / max(pace.slowdown, 1.0)
         for pace in paces
@@ -135,7 +137,7 @@
 
 
 def find_stragglers(paces: tuple[RankPace, ...], now: Millis) -> tuple[Straggler, ...]:
-    """Return the ranks to report as slow at ``now``."""
+    """Return the slow ranks at ``now``."""
     return tuple(
         Straggler(rank, pace.slowdown, now - pace.slow_since)
         for rank, pace in enumerate(paces)
--- a/tests/core/balance/test_balance_benchmarks.py
+++ b/tests/core/balance/test_balance_benchmarks.py
@@ -1,4 +1,4 @@
-"""The benchmark works; its figures are no part of the verdict."""
+"""The benchmarks run at a tiny size; the measured figures are not checked."""
 
 import json
 
@@ -6,7 +6,7 @@
 from bench.__main__ import render
 
 
-def test_balance_bench_runs_and_renders():
+def test_balance_benchmark_runs_and_renders():
     result = balance.run("tiny")
     names = {row["balancer"] for row in result["rows"]}
     assert {"never move", "interval re-pack", "threshold re-pack"} <= names
@@ -15,7 +15,7 @@
     assert "azurefold, Hinokuni" in render(result)
 
 
-def test_cpu_bench_times_each_shape():
+def test_cpu_benchmark_times_each_shape():
     rows = balance_cpu.run("tiny")["rows"]
     assert [(row["experts"], row["ranks"]) for row in rows][0] == (256, 32)
     assert {row["met"] for row in rows} <= {"met", "not met"}
