--- a/src/azurefold/core/objectives/__init__.py
+++ b/src/azurefold/core/objectives/__init__.py
@@ -1,1 +1,1 @@
-"""Service-level objectives and the burn of their budgets."""
+"""Service-level objectives and the burn rates of their error budgets."""
--- a/src/azurefold/core/objectives/burn.py
+++ b/src/azurefold/core/objectives/burn.py
@@ -1,4 +1,4 @@
-"""Service-level burn: how fast budgets go, when they end, and who is hit worst."""
+"""Reports how fast error budgets burn, when they run out and who is affected most."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -19,24 +19,30 @@
     time_to_exhaustion,
 )
 
-__all__ = ["BurnReport", "ObjectiveLog", "Offender", "WindowBurn", "build_burn_report"]
+__all__ = [
+    "BurnReport",
+    "ObjectiveLog",
+    "Offender",
+    "WindowBurn",
+    "build_burn_report",
+]
 
-_OFFENDERS_SHOWN = 5
-_STEADY_WINDOW: Millis = 60 * 60 * SECOND
+_MAX_OFFENDERS = 5
+_MIN_FORECAST_WINDOW_MS: Millis = 60 * 60 * SECOND
 
 
 @dataclass(frozen=True, slots=True)
 class WindowBurn:
-    """Burn within one window.
+    """The burn rate within one window.
 
     Parameters
     ----------
     window : int
-        Length in milliseconds.
+        Length of the window in milliseconds.
     observed : WindowCounts
-        What happened, and how much of the window the samples cover.
+        Requests within the window, and how much of it the samples cover.
     rate : float or None
-        Burn rate; None when no request came.
+        Burn rate; None if there were no requests.
     """
 
     window: Millis
@@ -46,18 +52,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Offender:
-    """An organisation or endpoint that missed the objective most.
+    """An organisation or endpoint whose requests missed the objective most often.
 
     Parameters
     ----------
     name : str
-        Which one.
+        Name of the organisation or endpoint.
     counts : RequestCounts
         Its requests.
     rate : float
         Its own burn rate.
     share_of_bad : float
-        Its share of all bad requests.
+        Its fraction of all bad requests.
     """
 
     name: str
@@ -68,25 +74,25 @@
 
 @dataclass(frozen=True, slots=True)
 class BurnReport:
-    """All that is to be said of one objective of one service.
+    """The state of the error budget of one objective of one service.
 
     Parameters
     ----------
     service : str
         Name of the service.
     objective : Objective
-        What is asked for.
+        Objective that the report is about.
     windows : tuple of WindowBurn
-        Shortest first.
+        Burn rates, shortest window first.
     period : WindowCounts
-        What happened in the objective's period.
+        Requests within the objective's period.
     budget_left : float
-        Share of the budget left, below 0 if overspent.
+        Remaining fraction of the error budget, below 0 if overspent.
     ends_in : int or None
-        Milliseconds until it ends at the rate of ``ends_window``; None if it
-        does not.
+        Milliseconds until the budget is used up at the rate of ``ends_window``; None
+        if it never is.
     ends_window : int
-        The window whose rate is taken to go on.
+        Window whose burn rate is assumed to continue.
     worst_organisations, worst_endpoints : tuple of Offender
         Those with most bad requests in the period, worst first.
     """
@@ -103,10 +109,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Visits:
-    """When a process was sampled last, and the time before that."""
+class _ScrapeTimes:
+    """Times of the last two scrapes of a process."""
 
-    before: Millis | None
+    previous: Millis | None
     last: Millis
 
 
@@ -117,57 +123,57 @@
     service: str
     objective: Objective
     _histories: dict[Source, CountHistory] = field(default_factory=dict)
-    _visits: dict[str, _Visits] = field(default_factory=dict)
+    _scrape_times: dict[str, _ScrapeTimes] = field(default_factory=dict)
 
     def add(self, source: Source, counts: RequestCounts, now: Millis) -> None:
-        """Take in cumulative counts that ``source`` published.
+        """Add the cumulative counts that ``source`` published.
 
-        A process publishes a source only from its first request on. Of a process
-        that was sampled before, a new source therefore stood at zero then. Without
-        that, the first requests of every organisation on every endpoint, perhaps
-        its only bad ones, would be missing from the report.
+        A process publishes a source only after its first request. If the process was
+        scraped before, the count of a new source was therefore zero at that time.
+        Without this starting point the report would miss the first requests of every
+        organisation on every endpoint, which may be its only bad ones.
 
         Parameters
         ----------
         source : Source
-            Whose counts.
+            Source of the counts.
         counts : RequestCounts
-            Since its process started.
+            Counts since the start of the process.
         now : int
             When they were read, in milliseconds.
         """
         self.record_scrape(source.process, now)
-        visits = self._visits[source.process]
+        scrape_times = self._scrape_times[source.process]
         history = self._histories.get(source)
         if history is None:
             history = self._histories[source] = CountHistory()
-            if visits.before is not None:
-                history.add(ZERO_COUNTS, visits.before)
+            if scrape_times.previous is not None:
+                history.add(ZERO_COUNTS, scrape_times.previous)
         history.add(counts, now)
 
     def record_scrape(self, process: str, now: Millis) -> None:
-        """Note that a process was sampled, even if it publishes no source yet.
+        """Record that a process was scraped, even if it publishes no source yet.
 
         Parameters
         ----------
         process : str
-            Which one.
+            Name of the process.
         now : int
-            When, in milliseconds, in the order of time.
+            Time of the scrape in milliseconds; calls must be in chronological order.
         """
-        visits = self._visits.setdefault(process, _Visits(None, now))
-        if visits.last < now:
-            self._visits[process] = _Visits(visits.last, now)
+        scrape_times = self._scrape_times.setdefault(process, _ScrapeTimes(None, now))
+        if scrape_times.last < now:
+            self._scrape_times[process] = _ScrapeTimes(scrape_times.last, now)
 
-    def forget(self, now: Millis) -> None:
-        """Drop what is older than the objective's period."""
+    def drop_expired(self, now: Millis) -> None:
+        """Drop samples that are older than the objective's period."""
         for history in self._histories.values():
-            history.forget(now - self.objective.period)
+            history.drop_before(now - self.objective.period)
 
-    def over(self, window: Millis, now: Millis) -> dict[Source, WindowCounts]:
-        """Return what happened within the window that ends ``now``, by source."""
+    def count_within(self, window: Millis, now: Millis) -> dict[Source, WindowCounts]:
+        """Return the requests within the window that ends at ``now``, by source."""
         return {
-            source: history.over(window, now)
+            source: history.count_within(window, now)
             for source, history in sorted(self._histories.items())
         }
 
@@ -175,53 +181,55 @@
 def build_burn_report(
     log: ObjectiveLog, now: Millis, windows: tuple[Millis, ...] = BURN_WINDOWS_MS
 ) -> BurnReport:
-    """Return the burn of one objective.
+    """Return the burn report of one objective.
 
-    The end of the budget is reckoned at the rate of the shortest window that is
-    at least an hour long, or else of the longest: over five minutes a single
-    hiccup would foretell the end within the day.
+    The forecast of when the budget runs out uses the shortest window of at least an
+    hour, or the longest window if there is none. Over five minutes, a single short
+    disturbance would predict that the budget runs out within the day.
 
     Parameters
     ----------
     log : ObjectiveLog
-        The samples.
+        Samples of the objective.
     now : int
-        The present time in milliseconds.
+        Current time in milliseconds.
     windows : tuple of int
-        Lengths in milliseconds.
+        Lengths of the windows in milliseconds.
 
     Raises
     ------
     ValueError
-        If there is no window.
+        If ``windows`` is empty.
     """
     if not windows:
-        raise ValueError("give at least one window to reckon a burn rate over")
+        raise ValueError("at least one window is needed to compute a burn rate")
     objective = log.objective
     burns = tuple(_window_burn(log, window, now) for window in sorted(windows))
-    by_source = log.over(objective.period, now)
-    period = _together(by_source)
-    left = remaining_budget(period.counts, objective)
-    steady = next((b for b in burns if b.window >= _STEADY_WINDOW), burns[-1])
+    by_source = log.count_within(objective.period, now)
+    period = _sum_sources(by_source)
+    remaining = remaining_budget(period.counts, objective)
+    forecast = next(
+        (burn for burn in burns if burn.window >= _MIN_FORECAST_WINDOW_MS), burns[-1]
+    )
     return BurnReport(
         service=log.service,
         objective=objective,
         windows=burns,
         period=period,
-        budget_left=left,
-        ends_in=time_to_exhaustion(left, steady.rate, objective),
-        ends_window=steady.window,
-        worst_organisations=_worst(by_source, objective, _organisation),
-        worst_endpoints=_worst(by_source, objective, _endpoint),
+        budget_left=remaining,
+        ends_in=time_to_exhaustion(remaining, forecast.rate, objective),
+        ends_window=forecast.window,
+        worst_organisations=_find_worst(by_source, objective, _organisation),
+        worst_endpoints=_find_worst(by_source, objective, _endpoint),
     )
 
 
 def _window_burn(log: ObjectiveLog, window: Millis, now: Millis) -> WindowBurn:
-    observed = _together(log.over(window, now))
+    observed = _sum_sources(log.count_within(window, now))
     return WindowBurn(window, observed, burn_rate(observed.counts, log.objective))
 
 
-def _together(by_source: dict[Source, WindowCounts]) -> WindowCounts:
+def _sum_sources(by_source: dict[Source, WindowCounts]) -> WindowCounts:
     counts = sum((observed.counts for observed in by_source.values()), ZERO_COUNTS)
     covered = max((observed.covered for observed in by_source.values()), default=0)
     return WindowCounts(counts, covered)
@@ -235,7 +243,7 @@
     return source.endpoint
 
 
-def _worst(
+def _find_worst(
     by_source: dict[Source, WindowCounts],
     objective: Objective,
     name_of: Callable[[Source], str],
@@ -251,4 +259,4 @@
         if name and counts.bad and (rate := burn_rate(counts, objective)) is not None
     ]
     offenders.sort(key=lambda offender: (-offender.counts.bad, offender.name))
-    return tuple(offenders[:_OFFENDERS_SHOWN])
+    return tuple(offenders[:_MAX_OFFENDERS])
--- a/src/azurefold/core/objectives/counts.py
+++ b/src/azurefold/core/objectives/counts.py
@@ -1,6 +1,6 @@
-"""Cumulative counts as processes publish them, and what happened between two.
+"""Cumulative request counts of processes and the increases between samples.
 
-RequestCounts only grow while a process lives and start from zero when it restarts.
+The counts of a process only increase while it runs and start from zero after a restart.
 """
 
 from bisect import bisect_right
@@ -10,31 +10,31 @@
 from azurefold.core.clock import Millis
 
 __all__ = [
-    "RequestCounts",
     "CountHistory",
-    "WindowCounts",
+    "RequestCounts",
     "Source",
+    "WindowCounts",
     "count_good_from_buckets",
 ]
 
 
 @dataclass(frozen=True, slots=True)
 class RequestCounts:
-    """Requests counted since a process started.
+    """Counts of good requests and of all requests.
 
     Parameters
     ----------
     good : int
         Requests that met the objective.
     total : int
-        All requests that the objective applies to.
+        All requests to which the objective applies.
     """
 
     good: int
     total: int
 
     def __post_init__(self) -> None:
-        """Refuse counts that no process can have.
+        """Reject impossible counts.
 
         Raises
         ------
@@ -50,7 +50,7 @@
         return self.total - self.good
 
     def __add__(self, other: "RequestCounts") -> "RequestCounts":
-        """Return both together."""
+        """Return the sums of both counts."""
         return RequestCounts(self.good + other.good, self.total + other.total)
 
 
@@ -59,16 +59,16 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Source:
-    """Where counts come from.
+    """The origin of a time series of counts.
 
     Parameters
     ----------
     process : str
-        The process that published them.
+        Process that published the counts.
     organisation : str
-        Whose requests they are; empty where the process does not tell.
+        Organisation that sent the requests; empty if the process does not publish it.
     endpoint : str
-        Which endpoint answered; empty where the process does not tell.
+        Endpoint that answered; empty if the process does not publish it.
     """
 
     process: str
@@ -78,14 +78,14 @@
 
 @dataclass(frozen=True, slots=True)
 class WindowCounts:
-    """What happened in a span of time.
+    """The requests within a window.
 
     Parameters
     ----------
     counts : RequestCounts
-        Requests within the span.
+        Requests within the window.
     covered : int
-        Milliseconds of the span for which there are samples.
+        Milliseconds of the window for which there are samples.
     """
 
     counts: RequestCounts
@@ -94,20 +94,19 @@
 
 @dataclass(slots=True)
 class CountHistory:
-    """Samples of one source for one objective, in the order of their time."""
+    """Samples of one source for one objective, in chronological order."""
 
     _times: list[Millis] = field(default_factory=list)
     _samples: list[RequestCounts] = field(default_factory=list)
-    _grown: list[RequestCounts] = field(default_factory=list)
+    _increases: list[RequestCounts] = field(default_factory=list)
 
     def add(self, counts: RequestCounts, now: Millis) -> None:
-        """Take in a sample.
+        """Add a sample.
 
-        A total that falls means that the process restarted between the samples,
-        so all that it counts now is new. What goes wrong otherwise: the
-        difference is negative, the burn rate shows less than nothing and an
-        outage that ended in a restart is never seen. What the process counted
-        after the last sample before it died is lost to us.
+        A count that decreases means that the process restarted between the samples,
+        so all its counts are new. A plain difference would be negative: it would
+        lower the burn rate and hide an outage that ended in a restart. Requests that
+        were counted between the last sample and the end of the process are lost.
 
         Raises
         ------
@@ -115,50 +114,55 @@
             If ``now`` is before the last sample.
         """
         if self._times and now < self._times[-1]:
-            raise ValueError(f"samples must come in order; {now} is before the last")
-        self._grown.append(self._grown_to(counts))
+            raise ValueError(
+                f"samples must be added in order; {now} is before the last one"
+            )
+        self._increases.append(self._increase_up_to(counts))
         self._times.append(now)
         self._samples.append(counts)
 
-    def _grown_to(self, counts: RequestCounts) -> RequestCounts:
+    def _increase_up_to(self, counts: RequestCounts) -> RequestCounts:
+        """Return the total increase from the first sample to ``counts``."""
         if not self._samples:
             return ZERO_COUNTS
-        last, grown = self._samples[-1], self._grown[-1]
-        restarted = (
+        last, increase = self._samples[-1], self._increases[-1]
+        has_restarted = (
             counts.total < last.total
             or counts.good < last.good
             or counts.bad < last.bad
         )
-        if restarted:
-            return grown + counts
-        return grown + RequestCounts(counts.good - last.good, counts.total - last.total)
+        if has_restarted:
+            return increase + counts
+        return increase + RequestCounts(
+            counts.good - last.good, counts.total - last.total
+        )
 
-    def over(self, window: Millis, now: Millis) -> WindowCounts:
-        """Return what happened within the ``window`` that ends ``now``.
+    def count_within(self, window: Millis, now: Millis) -> WindowCounts:
+        """Return the requests within the ``window`` that ends at ``now``.
 
         Parameters
         ----------
         window : int
-            Length in milliseconds.
+            Length of the window in milliseconds.
         now : int
-            Its end.
+            End of the window.
         """
         last = bisect_right(self._times, now) - 1
         if last < 0:
             return WindowCounts(ZERO_COUNTS, 0)
-        # The last sample at or before the window's start; with a younger history
-        # the first one, and `covered` says that the window is not full.
+        # Start at the last sample at or before the start of the window. If the history
+        # is shorter, start at the first sample; `covered` is then less than the window.
         first = max(0, bisect_right(self._times, now - window) - 1)
-        start, end = self._grown[first], self._grown[last]
+        start, end = self._increases[first], self._increases[last]
         counts = RequestCounts(end.good - start.good, end.total - start.total)
         return WindowCounts(counts, min(window, self._times[last] - self._times[first]))
 
-    def forget(self, before: Millis) -> None:
-        """Drop samples that no window reaching back to ``before`` needs."""
-        keep_from = max(0, bisect_right(self._times, before) - 1)
+    def drop_before(self, time: Millis) -> None:
+        """Drop the samples that no window starting at or after ``time`` needs."""
+        keep_from = max(0, bisect_right(self._times, time) - 1)
         del self._times[:keep_from]
         del self._samples[:keep_from]
-        del self._grown[:keep_from]
+        del self._increases[:keep_from]
 
 
 def count_good_from_buckets(
@@ -166,31 +170,31 @@
 ) -> int | None:
     """Return how many observations of a cumulative histogram met ``threshold``.
 
-    An edge between two buckets cannot be told apart from below, so the largest
-    edge that is not above the threshold counts: rather too few good than too
-    many.
+    Only observations up to a bucket's upper edge can be counted. The largest edge
+    that does not exceed the threshold is used, so the result may be too low but never
+    too high.
 
     Parameters
     ----------
     buckets : iterable of (float, int)
         Upper edge and cumulative count, in any order.
     threshold : float
-        In the unit of the edges.
+        Threshold in the unit of the edges.
 
     Returns
     -------
     int or None
-        None if even the lowest edge is above the threshold: the histogram
-        cannot tell.
+        None if the lowest edge exceeds the threshold, so that the histogram does not
+        contain the answer.
 
     Examples
     --------
     >>> count_good_from_buckets([(0.5, 10), (1.0, 30), (2.0, 40)], threshold=1.1)
     30
     """
-    fitting: Sequence[tuple[float, int]] = [
+    eligible: Sequence[tuple[float, int]] = [
         bucket for bucket in buckets if bucket[0] <= threshold
     ]
-    if not fitting:
+    if not eligible:
         return None
-    return max(fitting)[1]
+    return max(eligible)[1]
--- a/src/azurefold/core/objectives/objective.py
+++ b/src/azurefold/core/objectives/objective.py
@@ -1,4 +1,4 @@
-"""Objectives of a service and the arithmetic of their budgets."""
+"""Service-level objectives and the arithmetic of their error budgets."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -11,21 +11,26 @@
     "DEFAULT_PERIOD_MS",
     "Objective",
     "ObjectiveKind",
+    "burn_rate",
     "remaining_budget",
     "time_to_exhaustion",
-    "burn_rate",
 ]
 
-_MINUTE: Millis = 60 * SECOND
-_HOUR: Millis = 60 * _MINUTE
-_DAY: Millis = 24 * _HOUR
+_MINUTE_MS: Millis = 60 * SECOND
+_HOUR_MS: Millis = 60 * _MINUTE_MS
+_DAY_MS: Millis = 24 * _HOUR_MS
 
-BURN_WINDOWS_MS: tuple[Millis, ...] = (5 * _MINUTE, _HOUR, 6 * _HOUR, 3 * _DAY)
-DEFAULT_PERIOD_MS: Millis = 30 * _DAY
+BURN_WINDOWS_MS: tuple[Millis, ...] = (
+    5 * _MINUTE_MS,
+    _HOUR_MS,
+    6 * _HOUR_MS,
+    3 * _DAY_MS,
+)
+DEFAULT_PERIOD_MS: Millis = 30 * _DAY_MS
 
 
 class ObjectiveKind(Enum):
-    """What an objective is about."""
+    """Property of a request that an objective measures."""
 
     FIRST_TOKEN = "first token"
     BETWEEN_TOKENS = "between tokens"
@@ -34,18 +39,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Objective:
-    """A share of requests that must be good.
+    """The fraction of requests that must be good.
 
     Parameters
     ----------
     kind : ObjectiveKind
         What is measured.
     target : float
-        Share of good requests asked for, above 0 and below 1.
+        Required fraction of good requests, between 0 and 1 exclusive.
     threshold : int or None
-        Milliseconds within which a request is good; None for answered whole.
+        Milliseconds up to which a request counts as good; None for
+        ``ANSWERED_WHOLE``.
     period : int
-        Milliseconds over which the budget is spent.
+        Milliseconds for which the error budget has to last.
     """
 
     kind: ObjectiveKind
@@ -54,34 +60,34 @@
     period: Millis = DEFAULT_PERIOD_MS
 
     def __post_init__(self) -> None:
-        """Refuse an objective whose budget cannot be reckoned.
+        """Reject an objective whose error budget cannot be computed.
 
         Raises
         ------
         ValueError
-            If the target leaves no budget or all of it, or the threshold does
-            not fit the kind.
+            If the target is not between 0 and 1, or the threshold does not fit the
+            kind.
         """
         if not 0 < self.target < 1:
             raise ValueError(
                 f"the target must lie between 0 and 1, not {self.target}; "
-                "1 leaves no budget to burn"
+                "1 leaves no error budget"
             )
-        timed = self.kind is not ObjectiveKind.ANSWERED_WHOLE
-        if timed != (self.threshold is not None):
-            need = "a threshold" if timed else "no threshold"
-            raise ValueError(f"an objective on {self.kind.value} takes {need}")
+        has_threshold = self.kind is not ObjectiveKind.ANSWERED_WHOLE
+        if has_threshold != (self.threshold is not None):
+            need = "a threshold" if has_threshold else "no threshold"
+            raise ValueError(f"an objective of kind {self.kind.value} takes {need}")
 
     @property
     def error_budget(self) -> float:
-        """Share of requests that may be bad."""
+        """Fraction of requests that may be bad."""
         return 1.0 - self.target
 
 
 def burn_rate(counts: RequestCounts, objective: Objective) -> float | None:
-    """Return how fast the budget burns; 1.0 spends it just over the period.
+    """Return how fast the error budget burns; 1.0 uses it up exactly in one period.
 
-    None when no request came: that is not the same as none that failed.
+    None means that there were no requests, as opposed to no bad ones.
 
     Examples
     --------
@@ -95,38 +101,38 @@
 
 
 def remaining_budget(counts: RequestCounts, objective: Objective) -> float:
-    """Return the share of the period's budget that is left, below 0 if overspent.
+    """Return the remaining fraction of the error budget, below 0 if overspent.
 
     Parameters
     ----------
     counts : RequestCounts
-        Requests of the period so far. The budget is a share of these, so it
+        Requests of the period so far. The budget is a fraction of these, so it
         grows with traffic.
     objective : Objective
-        What is asked for.
+        Objective that defines the budget.
     """
-    burnt = burn_rate(counts, objective)
-    return 1.0 if burnt is None else 1.0 - burnt
+    rate = burn_rate(counts, objective)
+    return 1.0 if rate is None else 1.0 - rate
 
 
 def time_to_exhaustion(
-    left: float, rate: float | None, objective: Objective
+    remaining: float, rate: float | None, objective: Objective
 ) -> Millis | None:
-    """Return after how many milliseconds the budget ends at this burn rate.
+    """Return the milliseconds until the error budget is used up at a burn rate.
 
     Parameters
     ----------
-    left : float
-        Share of the budget left.
+    remaining : float
+        Remaining fraction of the error budget.
     rate : float or None
-        Burn rate that is taken to go on.
+        Burn rate that is assumed to continue.
     objective : Objective
-        Whose period the rate refers to.
+        Objective to whose period the rate refers.
 
     Returns
     -------
     int or None
-        0 if it has ended already; None if it does not end at this rate.
+        0 if the budget is already used up; None if it never is at this rate.
 
     Examples
     --------
@@ -135,8 +141,8 @@
     >>> time_to_exhaustion(0.5, 3.0, objective) // day
     5
     """
-    if left <= 0:
+    if remaining <= 0:
         return 0
     if not rate:
         return None
-    return round(left * objective.period / rate)
+    return round(remaining * objective.period / rate)
--- a/src/azurefold/core/objectives/rendering.py
+++ b/src/azurefold/core/objectives/rendering.py
@@ -1,4 +1,4 @@
-"""Service-level burn as text for operators."""
+"""Renders burn reports as text for operators."""
 
 from collections.abc import Iterable, Iterator
 
@@ -13,34 +13,34 @@
 
 def render_burn(reports: Iterable[BurnReport]) -> str:
     """Return the reports as text, one block for each objective."""
-    blocks = ("\n".join(_lines(report)) for report in reports)
+    blocks = ("\n".join(_render_report(report)) for report in reports)
     return "\n\n".join(blocks) + "\n"
 
 
-def _lines(report: BurnReport) -> Iterator[str]:
+def _render_report(report: BurnReport) -> Iterator[str]:
     counts = report.period.counts
-    yield f"{report.service}: {_objective(report.objective)}"
+    yield f"{report.service}: {_render_objective(report.objective)}"
     for burn in report.windows:
-        yield f"  last {format_duration(burn.window)}: {_burn(burn)}"
+        yield f"  last {format_duration(burn.window)}: {_render_burn_rate(burn)}"
     yield (
         f"  budget left: {report.budget_left:.1%} "
         f"({counts.bad} bad of {counts.total} "
         f"in {format_duration(report.period.covered)} "
         f"of {format_duration(report.objective.period)})"
     )
-    yield f"  {_end(report)}"
-    yield from _offenders("worst organisations", report.worst_organisations)
-    yield from _offenders("worst endpoints", report.worst_endpoints)
+    yield f"  {_render_exhaustion(report)}"
+    yield from _render_offenders("worst organisations", report.worst_organisations)
+    yield from _render_offenders("worst endpoints", report.worst_endpoints)
 
 
-def _objective(objective: Objective) -> str:
+def _render_objective(objective: Objective) -> str:
     within = ""
     if objective.threshold is not None:
         within = f" within {objective.threshold} ms"
     return f"{objective.kind.value}{within} for {objective.target:.4%}"
 
 
-def _burn(burn: WindowBurn) -> str:
+def _render_burn_rate(burn: WindowBurn) -> str:
     if burn.rate is None:
         return "no requests"
     counts = burn.observed.counts
@@ -50,7 +50,7 @@
     return text
 
 
-def _end(report: BurnReport) -> str:
+def _render_exhaustion(report: BurnReport) -> str:
     at_rate = f"at the rate of the last {format_duration(report.ends_window)}"
     if report.ends_in is None:
         return f"budget does not end {at_rate}"
@@ -59,7 +59,7 @@
     return f"budget ends in {format_duration(report.ends_in)} {at_rate}"
 
 
-def _offenders(title: str, offenders: tuple[Offender, ...]) -> Iterator[str]:
+def _render_offenders(title: str, offenders: tuple[Offender, ...]) -> Iterator[str]:
     if not offenders:
         return
     yield f"  {title}:"
@@ -72,14 +72,14 @@
 
 
 def format_duration(span: Millis) -> str:
-    """Return a span in its largest fitting unit.
+    """Return a time span in the largest unit of which it is at least one.
 
     Examples
     --------
     >>> format_duration(300_000), format_duration(5_400_000), format_duration(1_500)
     ('5 min', '1.5 h', '1.5 s')
     """
-    for unit, name in _UNITS:
-        if span >= unit:
-            return f"{span / unit:.3g} {name}"
+    for unit_ms, name in _UNITS:
+        if span >= unit_ms:
+            return f"{span / unit_ms:.3g} {name}"
     return f"{span / SECOND:.3g} s"
--- a/tests/commands/test_report.py
+++ b/tests/commands/test_report.py
@@ -112,7 +112,7 @@
     entry, configuration, monkeypatch
 ):
     def visit_only_with_counts(log, process, now):
-        log._visits[process] = burn._Visits(None, now)
+        log._scrape_times[process] = burn._ScrapeTimes(None, now)
 
     monkeypatch.setattr(burn.ObjectiveLog, "record_scrape", visit_only_with_counts)
     with pytest.raises(AssertionError):
