--- a/src/azurefold/core/routes/__init__.py
+++ b/src/azurefold/core/routes/__init__.py
@@ -1,1 +1,1 @@
-"""Which service a request goes to, and what may be done with it there."""
+"""Finds the route and service of a request and what is allowed for them."""
--- a/src/azurefold/core/routes/model.py
+++ b/src/azurefold/core/routes/model.py
@@ -1,4 +1,4 @@
-"""Routes, services and organisations of a configuration that is in force."""
+"""Routes, services and API keys of the active configuration."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -18,7 +18,7 @@
 
 
 class AnswerKind(Enum):
-    """What kind of answer a route gives, and whether it may be run twice."""
+    """Kind of the answers of a route; decides whether a request is safe to rerun."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Destination:
-    """A service and its weight among those of one route."""
+    """A service to which a route sends requests, with its relative weight."""
 
     service: str
     weight: float = 1.0
@@ -35,30 +35,31 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Where requests of one host and path prefix go.
+    """Destinations and limits of the requests with one host and path prefix.
 
     Parameters
     ----------
     name, host, prefix : str
-        The prefix begins and ends with a slash.
+        The prefix starts and ends with a slash.
     kind : AnswerKind
+        Kind of the answers.
     destinations : tuple of Destination
         At least one.
     timeout_ms : int
-        Longest time that a caller is kept waiting for the end of an answer.
+        Maximum time until the answer is complete.
     objective_ms : int
-        Time to the answer, or to a stream's first event, that is on time.
+        Time up to which an answer, or the first event of a stream, is on time.
     event_gap_ms : int
-        Longest time between two events of a stream that is on time; 0 if the
-        route has none.
+        Time between two events up to which a stream is on time; 0 if the route sets
+        no such limit.
     priority : int
-        0 goes first.
+        Requests with lower numbers go first; 0 is the highest priority.
     max_attempts : int
-        Endpoints that one request may be sent to.
+        Maximum number of endpoints to which one request is sent.
     is_public : bool
-        Whether callers need no key.
+        Whether callers need no API key.
     is_resumable : bool
-        Whether a stream may go on at another endpoint.
+        Whether a stream can be continued by another endpoint.
     """
 
     name: str
@@ -76,7 +77,7 @@
 
     @property
     def is_safe_to_rerun(self) -> bool:
-        """Whether a second run of a request does no harm."""
+        """Whether running a request a second time is harmless."""
         match self.kind:
             case AnswerKind.IDEMPOTENT:
                 return True
@@ -88,27 +89,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Engine:
-    """What the engines of a model service can do.
+    """Capacity and timing of the engines of a model service.
 
     Parameters
     ----------
     slots : int
-        Requests that one rank runs at a time.
+        Requests that one rank runs concurrently.
     steps_per_pass : int
         Token steps in one pass of a group.
     step_ms : float
-        Milliseconds that each of them takes whatever the requests.
+        Fixed duration of one token step in milliseconds, independent of the requests.
     layer_sets, experts, expert_slots_per_rank : int
-        Sets of layers that share a placement, experts in each, and weights of
-        one set that a rank has room for; 0 where experts are not split up.
+        Sets of layers that share a placement, experts in each set, and experts of
+        one set whose weights fit on one rank. 0 if the experts are not distributed
+        over the ranks.
     max_loads_per_change : int
-        Experts of one set that may be new to a rank in one map change.
+        Experts of one set that a rank may load in one map change.
     expert_mb : float
-        Megabytes of one expert's weights.
+        Size of one expert's weights in megabytes.
     link_mbps : float
-        Megabits a second at which a rank loads weights.
+        Rate at which a rank loads weights, in megabits per second.
     form_ms : int
-        From a replaced rank's return until its group runs again.
+        Time from the return of a replaced rank until its group runs again.
     """
 
     slots: int
@@ -124,24 +126,25 @@
 
     @property
     def expert_load_ms(self) -> float:
-        """Milliseconds in which a rank loads one expert."""
+        """Milliseconds that a rank needs to load the weights of one expert."""
         return self.expert_mb * 8_000.0 / self.link_mbps if self.link_mbps else 0.0
 
     @property
     def is_expert_parallel(self) -> bool:
-        """Whether ranks of a group share the experts under a map."""
+        """Whether a map distributes the experts over the ranks of a group."""
         return self.layer_sets > 0
 
 
 @dataclass(frozen=True, slots=True)
 class RoutedService:
-    """A service as its endpoints need to be treated.
+    """A service and the limits of its endpoints.
 
     Parameters
     ----------
     name : str
+        Name of the service.
     max_connections : int
-        Connections that one endpoint takes from all nodes together.
+        Connections that one endpoint accepts from all nodes together.
     engine : Engine or None
         None for a plain service.
     """
@@ -153,7 +156,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """What callers may send, in bytes, and how long they may take."""
+    """Maximum size of requests in bytes and timeouts for receiving them."""
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 4_194_304
@@ -163,13 +166,14 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyHolder:
-    """The organisation that a key belongs to.
+    """The organisation that an API key belongs to.
 
     Parameters
     ----------
     organisation : str
+        Name of the organisation.
     priority : int or None
-        Goes before that of the route; None leaves the route's.
+        Overrides the priority of the route unless None.
     """
 
     organisation: str
@@ -178,19 +182,22 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingConfiguration:
-    """A whole configuration under its version.
+    """One version of the complete configuration.
 
     Parameters
     ----------
     version : int
-        Rises from one accepted configuration to the next.
+        Increases with each accepted configuration.
     routes : tuple of Route
+        All routes.
     services : dict of str to RoutedService
-    holders : dict of str to KeyHolder
-        By key.
+        Services by name.
+    key_holders : dict of str to KeyHolder
+        Key holders by API key.
     is_key_required : bool
-        Whether requests on routes that are not public need a key.
+        Whether requests on routes that are not public need an API key.
     limits : CallerLimits
+        Limits on what callers send.
     """
 
     version: int
@@ -201,14 +208,14 @@
     limits: CallerLimits = CallerLimits()
 
     def promised_gap_ms(self, service: str) -> Millis:
-        """Return the shortest time between events that a service's routes promise.
+        """Return the shortest event gap that the routes of a service promise.
 
-        0 where none promises any.
+        0 if none of them sets one.
         """
         gaps = [
             route.event_gap_ms
             for route in self.routes
             if route.event_gap_ms
-            and service in {each.service for each in route.destinations}
+            and service in {destination.service for destination in route.destinations}
         ]
         return min(gaps, default=0)
--- a/src/azurefold/core/routes/table.py
+++ b/src/azurefold/core/routes/table.py
@@ -1,4 +1,4 @@
-"""Finding the route of a request, and the service among its destinations."""
+"""Finds the route of a request and selects one of its destinations."""
 
 from collections.abc import Iterable, Iterator
 
@@ -8,38 +8,38 @@
 
 
 class RouteTable:
-    """Routes by host and prefix; made by :func:`build_route_table`."""
+    """Routes by host and prefix; created by :func:`build_route_table`."""
 
     def __init__(self, by_host: dict[str, dict[str, Route]]) -> None:
         self._by_host = by_host
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix that begins ``path``.
+        """Return the route with the longest prefix of ``path``, or None.
 
         Parameters
         ----------
         host : str
-            As the caller sent it; case and port do not matter.
+            Host as sent by the caller; case and port are ignored.
         path : str
-            Without a query.
+            Path without the query.
         """
-        prefixes = self._by_host.get(_bare_host(host))
+        prefixes = self._by_host.get(_normalise_host(host))
         if prefixes is None:
             return None
-        found = (prefixes.get(prefix) for prefix in _prefixes_of(path))
-        return next((route for route in found if route is not None), None)
+        matches = (prefixes.get(prefix) for prefix in _list_prefixes(path))
+        return next((route for route in matches if route is not None), None)
 
 
 def build_route_table(routes: Iterable[Route]) -> RouteTable:
-    """Return the table of ``routes``.
+    """Return a table of the given routes.
 
     Examples
     --------
     >>> from azurefold.core.routes.model import Destination, AnswerKind
-    >>> to = (Destination("notices"),)
+    >>> targets = (Destination("notices"),)
     >>> kind = AnswerKind.IDEMPOTENT
-    >>> broad = Route("broad", "a.example", "/", kind, to, 800, 400)
-    >>> narrow = Route("narrow", "a.example", "/lots/", kind, to, 800, 400)
+    >>> broad = Route("broad", "a.example", "/", kind, targets, 800, 400)
+    >>> narrow = Route("narrow", "a.example", "/lots/", kind, targets, 800, 400)
     >>> table = build_route_table([broad, narrow])
     >>> table.find("A.example:80", "/lots/7").name, table.find("a.example", "/x").name
     ('narrow', 'broad')
@@ -48,41 +48,42 @@
     """
     by_host: dict[str, dict[str, Route]] = {}
     for route in routes:
-        by_host.setdefault(_bare_host(route.host), {})[route.prefix] = route
+        by_host.setdefault(_normalise_host(route.host), {})[route.prefix] = route
     return RouteTable(by_host)
 
 
 def choose_service(route: Route, draw: float) -> str:
-    """Return the service that a request goes to.
+    """Select the service for a request in proportion to the weights.
 
     Parameters
     ----------
     route : Route
+        Route of the request.
     draw : float
         Random number in [0, 1).
 
     Examples
     --------
     >>> from azurefold.core.routes.model import Destination, AnswerKind
-    >>> to = (Destination("old", 90), Destination("new", 10))
-    >>> route = Route("r", "a.example", "/", AnswerKind.IDEMPOTENT, to, 800, 400)
+    >>> targets = (Destination("old", 90), Destination("new", 10))
+    >>> route = Route("r", "a.example", "/", AnswerKind.IDEMPOTENT, targets, 800, 400)
     >>> choose_service(route, 0.5), choose_service(route, 0.95)
     ('old', 'new')
     """
-    left = draw * sum(destination.weight for destination in route.destinations)
+    remaining = draw * sum(destination.weight for destination in route.destinations)
     for destination in route.destinations:
-        left -= destination.weight
-        if left < 0:
+        remaining -= destination.weight
+        if remaining < 0:
             return destination.service
     return route.destinations[-1].service
 
 
-def _bare_host(host: str) -> str:
+def _normalise_host(host: str) -> str:
     return host.partition(":")[0].lower()
 
 
-def _prefixes_of(path: str) -> Iterator[str]:
-    """Yield the prefixes that end in a slash, the longest first."""
+def _list_prefixes(path: str) -> Iterator[str]:
+    """Yield the prefixes of ``path`` that end in a slash, longest first."""
     end = path.rfind("/")
     while end >= 0:
         yield path[: end + 1]
--- a/tests/core/routes/test_route_table.py
+++ b/tests/core/routes/test_route_table.py
@@ -1,4 +1,4 @@
-"""Requests go by host and longest prefix; splits follow their weights."""
+"""Routes match by host and longest prefix, and services are chosen by weight."""
 
 import pytest
 
@@ -6,15 +6,15 @@
 from azurefold.core.routes.table import build_route_table, choose_service
 
 
-def route(name, prefix, kind=AnswerKind.IDEMPOTENT, **fields):
-    to = fields.pop("to", (Destination(name),))
-    return Route(name, "a.example", prefix, kind, to, 800, 400, **fields)
+def make_route(name, prefix, kind=AnswerKind.IDEMPOTENT, **fields):
+    destinations = fields.pop("to", (Destination(name),))
+    return Route(name, "a.example", prefix, kind, destinations, 800, 400, **fields)
 
 
 @pytest.fixture
 def table():
     return build_route_table(
-        [route("lots", "/lots/"), route("recalls", "/lots/recalls/")]
+        [make_route("lots", "/lots/"), make_route("recalls", "/lots/recalls/")]
     )
 
 
@@ -30,25 +30,25 @@
         ("", None),
     ],
 )
-def test_the_longest_prefix_wins(table, path, name):
-    found = table.find("a.example", path)
-    assert (found.name if found else None) == name
+def test_longest_prefix_matches(table, path, name):
+    route = table.find("a.example", path)
+    assert (route.name if route else None) == name
 
 
 def test_hosts_do_not_share_routes(table):
     assert table.find("b.example", "/lots/7") is None
 
 
-def test_weights_divide_the_draws():
-    to = (Destination("old", 3), Destination("new", 1))
-    split = route("split", "/", to=to)
-    drawn = [choose_service(split, number / 100) for number in range(100)]
-    assert drawn.count("old") == 75
-    assert drawn.count("new") == 25
+def test_services_are_chosen_by_weight():
+    destinations = (Destination("old", 3), Destination("new", 1))
+    route = make_route("split", "/", to=destinations)
+    services = [choose_service(route, number / 100) for number in range(100)]
+    assert services.count("old") == 75
+    assert services.count("new") == 25
 
 
 @pytest.mark.parametrize(
-    ("kind", "resumable", "twice"),
+    ("kind", "is_resumable", "is_safe"),
     [
         (AnswerKind.IDEMPOTENT, False, True),
         (AnswerKind.NON_IDEMPOTENT, True, False),
@@ -56,5 +56,10 @@
         (AnswerKind.STREAMING, True, True),
     ],
 )
-def test_only_idempotent_and_resumable_requests_may_run_twice(kind, resumable, twice):
-    assert route("r", "/", kind, is_resumable=resumable).is_safe_to_rerun is twice
+def test_only_idempotent_and_resumable_requests_are_safe_to_rerun(
+    kind, is_resumable, is_safe
+):
+    assert (
+        make_route("r", "/", kind, is_resumable=is_resumable).is_safe_to_rerun
+        is is_safe
+    )
