--- a/bench/recovery_followers.py
+++ b/bench/recovery_followers.py
@@ -11,17 +11,21 @@
 from dataclasses import dataclass, field
 
 from azurefold.core.clock import SECOND, Millis
-from azurefold.core.configuration.follower import Follower, FollowerPolicy, follower
+from azurefold.core.configuration.follower import (
+    Follower,
+    FollowerPolicy,
+    create_follower,
+)
 from azurefold.core.configuration.head import NO_HEAD
 from azurefold.core.configuration.messages import (
     Action,
     Announce,
+    AnnouncementReceived,
     Event,
     FetchFailed,
     FetchHead,
     FetchSections,
     HeadFetched,
-    MarkHeard,
     Peer,
     Platform,
     PlatformPolled,
@@ -116,7 +120,7 @@
 
     def start_one(self, name: str, data_centre: int) -> None:
         """Start, or start again, one process."""
-        machine = follower(name, f"hall-{data_centre}", self._policy)
+        machine = create_follower(name, f"hall-{data_centre}", self._policy)
         node = _Node(name, data_centre, machine, self.now)
         self.nodes[name] = node
         # A process's own start and import time spread the first ticks.
@@ -176,15 +180,15 @@
         self._at(self.now + GOSSIP, lambda: self._gossip(node))
 
     def _announce(self, node: _Node, age_ms: Millis | None) -> None:
-        mark = node.machine.head.mark
-        if mark == NO_HEAD.mark:
+        head_id = node.machine.head.head_id
+        if head_id == NO_HEAD.head_id:
             return
         near = [n for n in self._members[node.data_centre] if n != node.name]
         far = [n for n in self.nodes if self.nodes[n].data_centre != node.data_centre]
         chosen = self._draw.sample(near, min(NEAR_FANOUT, len(near)))
         chosen += self._draw.sample(far, min(FAR_FANOUT, len(far)))
         for name in chosen:
-            heard = MarkHeard(mark, Peer(node.name), age_ms)
+            heard = AnnouncementReceived(head_id, Peer(node.name), age_ms)
             self._send(node, name, heard)
 
     def _send(self, node: _Node, to: str, event: Event) -> None:
@@ -223,7 +227,7 @@
                 self._announce(node, age_ms)
 
     def _polled(self, node: _Node) -> None:
-        self._feed(node, PlatformPolled(self.platform.head.mark, 1))
+        self._feed(node, PlatformPolled(self.platform.head.head_id, 1))
 
     def _read(self, node: _Node, then: Callable[[], None], failed: Event) -> None:
         at = None if node.data_centre in self.cut else self.platform.answer_at(self.now)
@@ -285,6 +289,6 @@
 
 def _contents_of(action: FetchSections) -> Callable[[_Node, Source], Event]:
     def answer(peer: _Node, source: Source) -> Event:
-        return SectionsFetched(peer.machine.contents_of(action.hashes), source)
+        return SectionsFetched(peer.machine.get_contents(action.hashes), source)
 
     return answer
--- a/bench/recovery_platform.py
+++ b/bench/recovery_platform.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from azurefold.core.clock import SECOND, Millis
-from azurefold.core.configuration.head import NO_HEAD, Head, next_head
+from azurefold.core.configuration.head import NO_HEAD, Head, build_next_head
 from azurefold.core.configuration.sections import content_hash
 
 READ_LATENCY: Millis = 5
@@ -42,7 +42,7 @@
             data = b"%d of edit %d" % (section, number)
             sections[f"service/{section}"] = content_hash(data)
             self.objects[content_hash(data)] = data
-        self.head = next_head(self.head, f"edit-{number}", sections)
+        self.head = build_next_head(self.head, f"edit-{number}", sections)
 
     def answer_at(self, now: Millis) -> Millis | None:
         """Count a read; return when its answer comes, None if it never does."""
--- a/bench/slopes_control.py
+++ b/bench/slopes_control.py
@@ -15,7 +15,7 @@
 import gevent
 
 from azurefold.core.configuration.head import decode_head
-from azurefold.core.configuration.sections import content_hash, split
+from azurefold.core.configuration.sections import content_hash, split_configuration
 from azurefold_standins.operator import accept, status
 from azurefold_standins.site import Layout, Site, new_site
 from bench.slopes_fit import Fit, fit
@@ -90,7 +90,7 @@
         """Have the configuration accepted, also by the neighbours."""
         revision = accept(self.site, self.configuration)
         row = table_row(self.site, "configuration/head")
-        contents = split(full_raw(self.configuration)).values()
+        contents = split_configuration(full_raw(self.configuration)).values()
         self.world.accept(
             decode_head(row), {content_hash(each): each for each in contents}
         )
@@ -150,7 +150,7 @@
         "core_share": used.core_share,
         "resident_mb": used.resident_mb,
         "udp_bytes_per_s": made.world.both_ways() / passed,
-        "announce_bytes_per_s": made.world.bytes["MarkNews"] / passed,
+        "announce_bytes_per_s": made.world.bytes["HeadAnnouncement"] / passed,
         "datagrams_per_s": made.world.datagrams.total() / passed,
         "platform_bytes_per_s": (made.to_platform.both_ways - wire) / passed,
         "data_centre_reads_per_s": (
--- a/bench/slopes_core.py
+++ b/bench/slopes_core.py
@@ -11,27 +11,27 @@
 
 from azurefold.border.configuration import configuration_from_raw
 from azurefold.core.balance.packing import pack_experts
-from azurefold.core.configuration.follower import Follower, follower
+from azurefold.core.configuration.follower import Follower, create_follower
 from azurefold.core.configuration.head import (
     NO_HEAD,
     Head,
-    delta_between,
-    encode,
-    next_head,
+    build_next_head,
+    compute_delta,
+    encode_json,
 )
 from azurefold.core.configuration.messages import (
+    AnnouncementReceived,
     Apply,
     HeadFetched,
-    MarkHeard,
     Peer,
     SectionsFetched,
 )
 from azurefold.core.configuration.sections import (
     Sections,
-    assemble,
+    assemble_configuration,
     canonical_bytes,
     content_hash,
-    split,
+    split_configuration,
 )
 from azurefold.core.groups.lead_time import LeadTimePolicy
 from azurefold.core.groups.phases import Idle
@@ -117,12 +117,12 @@
     endpoints = _N_SERVICES * _ENDPOINTS_OF_A_SERVICE
     text = configuration(_N_SERVICES, organisations, endpoints)
     raw = full_raw(text)
-    sections = split(raw)
+    sections = split_configuration(raw)
     first = _head(NO_HEAD, sections)
-    changed = split(_with_one_change(raw))
+    changed = split_configuration(_with_one_change(raw))
     second = _head(first, changed)
     tracemalloc.start()
-    machine = follower("one", "hall")
+    machine = create_follower("one", "hall")
     # Copied, as contents that come from elsewhere are this process's own.
     _follow(machine, first, {k: bytes(bytearray(v)) for k, v in sections.items()})
     held = tracemalloc.get_traced_memory()[0]
@@ -130,15 +130,15 @@
     begun = time.process_time()
     _follow(machine, second, changed)
     follow_s = time.process_time() - begun
-    delta = canonical_bytes(asdict(delta_between(first, second)))
+    delta = canonical_bytes(asdict(compute_delta(first, second)))
     news = [data for name, data in changed.items() if sections.get(name) != data]
     return {
-        "split_ms": _ms(lambda: split(raw)),
-        "assemble_ms": _ms(lambda: assemble(sections)),
+        "split_ms": _ms(lambda: split_configuration(raw)),
+        "assemble_ms": _ms(lambda: assemble_configuration(sections)),
         "validate_ms": _ms(lambda: configuration_from_raw(raw)),
         "follow_ms": 1_000 * follow_s,
         "whole_bytes": len(msgspec.json.encode(raw)),
-        "head_bytes": len(encode(first)),
+        "head_bytes": len(encode_json(first)),
         "delta_bytes": len(delta),
         "section_bytes": sum(map(len, news)),
         "follower_mb": held / 2**20,
@@ -147,7 +147,7 @@
 
 def _head(base: Head, sections: Sections) -> Head:
     hashes = {name: content_hash(data) for name, data in sections.items()}
-    return next_head(base, f"{base.revision + 1:032x}", hashes)
+    return build_next_head(base, f"{base.revision + 1:032x}", hashes)
 
 
 def _with_one_change(raw: dict) -> dict:
@@ -159,7 +159,7 @@
 
 def _follow(machine: Follower, head: Head, sections: Sections) -> None:
     contents = {head.sections[name]: data for name, data in sections.items()}
-    machine.handle(MarkHeard(head.mark, _PEER, 0), 0)
+    machine.handle(AnnouncementReceived(head.head_id, _PEER, 0), 0)
     machine.handle(HeadFetched(head, _PEER), 0)
     applied = machine.handle(SectionsFetched(contents, _PEER), 0)
     if not any(isinstance(action, Apply) for action in applied):
--- a/bench/slopes_surroundings.py
+++ b/bench/slopes_surroundings.py
@@ -16,10 +16,10 @@
 from azurefold.border.settings import ControlSettings, load_settings
 from azurefold.control.configuration import ConfigurationLoop
 from azurefold.control.membership import MembershipLoop
-from azurefold.core.configuration.acceptance import TookEffect
-from azurefold.core.configuration.follower import follower
+from azurefold.core.configuration.acceptance import WriteSucceeded
+from azurefold.core.configuration.follower import create_follower
 from azurefold.core.configuration.head import NO_HEAD, Head
-from azurefold.core.configuration.messages import MarkNews, PlatformPolled
+from azurefold.core.configuration.messages import HeadAnnouncement, PlatformPolled
 from azurefold.core.membership.directory import Directory
 from azurefold.core.membership.endpoints import Endpoint, Role, State
 from azurefold.core.membership.messages import Send, Source
@@ -51,7 +51,7 @@
     def poll(self) -> PlatformPolled:
         """Return the mark, and count the look."""
         self.looks += 1
-        return PlatformPolled(self.head.mark if self.head.revision else None, 1)
+        return PlatformPolled(self.head.head_id if self.head.revision else None, 1)
 
     def read_base(self) -> Base:
         """Return the head."""
@@ -61,9 +61,9 @@
         """Return contents by hash."""
         return {each: self.contents[each] for each in hashes}
 
-    def write_back(self, *_: object) -> TookEffect:
+    def write_back(self, *_: object) -> WriteSucceeded:
         """Take a head back; never needed, as nothing restores this store."""
-        return TookEffect()
+        return WriteSucceeded()
 
 
 @dataclass(slots=True)
@@ -168,7 +168,7 @@
         send = self._sender(name)
         membership = MembershipLoop(directory, clock, draw, send)
         loop = ConfigurationLoop(
-            follower(name, "hall"),
+            create_follower(name, "hall"),
             self.store,
             NeighbourPeers(near, [self.far] if self.far else []),
             clock,
@@ -195,7 +195,14 @@
         while True:
             gevent.sleep(1.0)
             if self.store.head.revision:
-                send([Send(self.under_test, MarkNews(self.store.head.mark, 500))])
+                send(
+                    [
+                        Send(
+                            self.under_test,
+                            HeadAnnouncement(self.store.head.head_id, 500),
+                        )
+                    ]
+                )
 
     def _sender(self, name: str) -> Callable[[list[Send]], None]:
         def send(sends: list[Send]) -> None:
@@ -230,7 +237,7 @@
 
     def _receive(self, name: str, message: AnyMessage, source: Source) -> list[Send]:
         now = monotonic_clock().now()
-        if isinstance(message, MarkNews):
+        if isinstance(message, HeadAnnouncement):
             if name in self._loops:
                 self._loops[name].receive(message, source.name)
             return []
--- a/src/azurefold/agent/heartbeats.py
+++ b/src/azurefold/agent/heartbeats.py
@@ -8,7 +8,7 @@
 from azurefold.agent.runner import Runner
 from azurefold.border.settings import AgentSettings
 from azurefold.core.clock import Millis
-from azurefold.core.configuration.messages import MarkNews
+from azurefold.core.configuration.messages import HeadAnnouncement
 from azurefold.core.membership.endpoints import NO_RANK, Endpoint, State
 from azurefold.core.membership.messages import Send, Source
 from azurefold.core.membership.presence import Presence
@@ -61,7 +61,7 @@
 
     def receive(self, message: AnyMessage, source: Source) -> list[Send]:
         """Take a datagram whose seal was good."""
-        if isinstance(message, MarkNews):
+        if isinstance(message, HeadAnnouncement):
             return []
         return self.presence.receive(message, source.origin, self._now())
 
--- a/src/azurefold/border/configuration.py
+++ b/src/azurefold/border/configuration.py
@@ -14,12 +14,12 @@
     BookingHours,
     Configuration,
     Group,
-    Kind,
     Limits,
     Objectives,
     Organisation,
     Priority,
     Service,
+    ServiceKind,
 )
 
 __all__ = [
@@ -128,14 +128,14 @@
         groups = [Group(key, tuple(ranks)) for key, ranks in self.groups.items()]
         return Service(
             name=name,
-            kind=Kind(self.kind),
+            kind=ServiceKind(self.kind),
             data_centres=tuple(self.data_centres),
             endpoints=tuple(self.endpoints),
             groups=tuple(groups),
             model=self.model,
             priority=Priority(self.priority),
             depends_on=tuple(self.depends_on),
-            idempotent=self.idempotent,
+            is_idempotent=self.idempotent,
             objectives=Objectives(**self.objectives.model_dump()),
             limits=Limits(**self.limits.model_dump()),
             balance=self.balance.to_core(),
@@ -187,7 +187,7 @@
         """
         raw = self.model_dump(mode="json")
         for service in raw["services"].values():
-            if service["kind"] == Kind.PLAIN:
+            if service["kind"] == ServiceKind.PLAIN:
                 del service["balance"]
         return raw
 
--- a/src/azurefold/commands/accepted.py
+++ b/src/azurefold/commands/accepted.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from azurefold.core.configuration.sections import assemble
+from azurefold.core.configuration.sections import assemble_configuration
 from azurefold.site_store.configuration_store import Base, ConfigurationStore
 from azurefold.site_store.messages import Unavailable
 
@@ -34,4 +34,4 @@
     sections = store.read_sections(base.head)
     if isinstance(sections, Unavailable):
         return sections
-    return AcceptedText(base, assemble(sections))
+    return AcceptedText(base, assemble_configuration(sections))
--- a/src/azurefold/commands/apply.py
+++ b/src/azurefold/commands/apply.py
@@ -14,16 +14,16 @@
 from azurefold.core.clock import Clock, Millis
 from azurefold.core.configuration.acceptance import (
     Acceptance,
+    AcceptanceUnknown,
     Accepted,
     NotAccepted,
-    NotDone,
     Outcome,
-    StillUnknown,
     Submit,
+    WriteNotApplied,
 )
-from azurefold.core.configuration.changes import changed_names
-from azurefold.core.configuration.head import Mark, next_head
-from azurefold.core.configuration.sections import content_hash, split
+from azurefold.core.configuration.changes import find_changed_names
+from azurefold.core.configuration.head import HeadId, build_next_head
+from azurefold.core.configuration.sections import content_hash, split_configuration
 from azurefold.site_store.configuration_store import ConfigurationStore, EditRecord
 from azurefold.site_store.messages import Unavailable
 
@@ -79,12 +79,12 @@
     edit = _Edit(store, accepted, raw, held, options.author)
     outcome = edit.hand_in(clock, clock.now() + options.accept_timeout_ms)
     match outcome:
-        case Accepted(mark=mark):
-            return _after_acceptance(mark, fleet, clock, options)
+        case Accepted(head_id=head_id):
+            return _after_acceptance(head_id, fleet, clock, options)
         case NotAccepted():
             return _not_accepted(outcome, accepted, store)
-        case StillUnknown(mark=mark):
-            return _still_unknown(mark)
+        case AcceptanceUnknown(head_id=head_id):
+            return _still_unknown(head_id)
 
 
 class _Edit:
@@ -96,15 +96,17 @@
         held: int,
         author: str,
     ) -> None:
-        sections = split(raw)
+        sections = split_configuration(raw)
         hashes = {name: content_hash(data) for name, data in sections.items()}
         known = set(accepted.base.head.sections.values())
         self._store = store
         self._version = accepted.base.version
         self._new = [d for n, d in sections.items() if hashes[n] not in known]
         edit_id = uuid.uuid4().hex
-        self._head = next_head(accepted.base.head, edit_id, hashes, above=held)
-        changed = changed_names(accepted.raw, raw)
+        self._head = build_next_head(
+            accepted.base.head, edit_id, hashes, held_revision=held
+        )
+        changed = find_changed_names(accepted.raw, raw)
         self._record = EditRecord(edit_id, changed, author)
 
     def hand_in(self, clock: Clock, deadline: Millis) -> Outcome:
@@ -120,7 +122,7 @@
         # lost them, and the head would name what nobody can fetch.
         failed = self._store.put_contents(self._new)
         if failed is not None:
-            return NotDone(failed.reason)
+            return WriteNotApplied(failed.reason)
         return self._store.submit(self._head, self._version, self._record)
 
 
@@ -147,7 +149,7 @@
             f"written back, or replace it with --over_restored"
         )
         return Report(Exit.REFUSED, (line,), {"present": present, "held": held})
-    if not changed_names(accepted.raw, raw):
+    if not find_changed_names(accepted.raw, raw):
         line = f"nothing to do: the text is what revision {present} says"
         return Report(Exit.OK, (line,), {"revision": present})
     return None
@@ -173,32 +175,32 @@
 def _not_accepted(
     outcome: NotAccepted, accepted: AcceptedText, store: ConfigurationStore
 ) -> Report:
-    if outcome.present is not None:
+    if outcome.current is not None:
         base = accepted.base.head.revision
-        return _lost_base(base, outcome.present.revision, store)
+        return _lost_base(base, outcome.current.revision, store)
     line = f"not accepted: {outcome.reason}; nothing was changed, try again"
     return Report(Exit.UNAVAILABLE, (line,), {"reason": outcome.reason})
 
 
-def _still_unknown(mark: Mark) -> Report:
+def _still_unknown(head_id: HeadId) -> Report:
     line = (
-        f"unknown whether revision {mark.revision} was accepted as edit "
-        f"{mark.edit_id}: the platform's answers were lost; ask again with "
-        f"azurefold outcome {mark.revision} {mark.edit_id}"
+        f"unknown whether revision {head_id.revision} was accepted as edit "
+        f"{head_id.edit_id}: the platform's answers were lost; ask again with "
+        f"azurefold outcome {head_id.revision} {head_id.edit_id}"
     )
-    return Report(Exit.UNKNOWN, (line,), mark)
+    return Report(Exit.UNKNOWN, (line,), head_id)
 
 
 def _after_acceptance(
-    mark: Mark, fleet: Fleet, clock: Clock, options: ApplyOptions
+    head_id: HeadId, fleet: Fleet, clock: Clock, options: ApplyOptions
 ) -> Report:
-    lines = [f"accepted: revision {mark.revision}, edit {mark.edit_id}"]
-    data = {"mark": mark, "reach": []}
+    lines = [f"accepted: revision {head_id.revision}, edit {head_id.edit_id}"]
+    data = {"mark": head_id, "reach": []}
     if not options.wait:
         return Report(Exit.OK, tuple(lines), data)
     since = clock.now()
     until = since + options.wait_timeout_ms
-    reach = wait_until_in_force(mark, fleet, clock, since, until)
+    reach = wait_until_in_force(head_id, fleet, clock, since, until)
     lines += [each.line() for each in reach]
     data["reach"] = reach
     if not reach:
--- a/src/azurefold/commands/check.py
+++ b/src/azurefold/commands/check.py
@@ -5,7 +5,7 @@
 from azurefold.border.configuration import ConfigurationModel
 from azurefold.commands.accepted import AcceptedText, read_accepted
 from azurefold.commands.reports import Exit, Report, unavailable_report
-from azurefold.core.configuration.changes import Change, ChangeKind, changes
+from azurefold.core.configuration.changes import Change, ChangeKind, find_changes
 from azurefold.site_store.configuration_store import ConfigurationStore
 from azurefold.site_store.messages import Unavailable
 
@@ -31,7 +31,7 @@
     accepted = read_accepted(store)
     if isinstance(accepted, Unavailable):
         return unavailable_report(accepted.reason)
-    found = changes(accepted.raw, model.to_raw())
+    found = find_changes(accepted.raw, model.to_raw())
     revision = accepted.base.head.revision
     lines = [f"compared with revision {revision}: {len(found)} changes"]
     lines += [_line(change) for change in found[:_MOST_SHOWN]]
--- a/src/azurefold/commands/report_readings.py
+++ b/src/azurefold/commands/report_readings.py
@@ -9,7 +9,7 @@
 from prometheus_client.parser import text_string_to_metric_families
 
 from azurefold.core.clock import Clock, Millis
-from azurefold.core.configuration.model import Configuration, Kind, Service
+from azurefold.core.configuration.model import Configuration, Service, ServiceKind
 from azurefold.core.objectives.counts import count_good_from_buckets
 from azurefold.core.objectives.objective import Objective, ObjectiveKind
 from azurefold.internal.http_client import CONNECTION_ERRORS, http_client
@@ -100,7 +100,7 @@
     share = asked.target_share
     first = Objective(ObjectiveKind.FIRST_TOKEN, share, asked.first_token_ms)
     whole = Objective(ObjectiveKind.ANSWERED_WHOLE, share)
-    if service.kind is Kind.PLAIN:
+    if service.kind is ServiceKind.PLAIN:
         return first, whole
     between = Objective(ObjectiveKind.BETWEEN_TOKENS, share, asked.between_tokens_ms)
     return first, between, whole
--- a/src/azurefold/commands/status.py
+++ b/src/azurefold/commands/status.py
@@ -7,7 +7,7 @@
 from azurefold.commands.fleet import ControlStatus, Fleet, Silent
 from azurefold.commands.reports import Exit, Report, unavailable_report
 from azurefold.core.clock import Clock, Millis
-from azurefold.core.configuration.head import NO_HEAD, Mark
+from azurefold.core.configuration.head import NO_HEAD, HeadId
 from azurefold.core.configuration.messages import PollFailed
 from azurefold.site_store.configuration_store import ConfigurationStore
 from azurefold.site_store.messages import Unavailable
@@ -20,12 +20,12 @@
 
 def status(store: ConfigurationStore, fleet: Fleet) -> Report:
     """Tell what the platform shows and what each control process holds."""
-    mark = _platform_mark(store)
+    head_id = _platform_mark(store)
     statuses = fleet.statuses()
-    lines = [_platform_line(mark), *map(_control_line, statuses)]
-    behind = [each for each in statuses if _is_behind(each, mark)]
+    lines = [_platform_line(head_id), *map(_control_line, statuses)]
+    behind = [each for each in statuses if _is_behind(each, head_id)]
     code = Exit.NOT_REACHED if behind else Exit.OK
-    return Report(code, tuple(lines), {"platform": mark, "controls": statuses})
+    return Report(code, tuple(lines), {"platform": head_id, "controls": statuses})
 
 
 def watch(
@@ -65,17 +65,17 @@
     return Report(Exit.UNKNOWN, (line,), data)
 
 
-def _platform_mark(store: ConfigurationStore) -> Mark | None:
+def _platform_mark(store: ConfigurationStore) -> HeadId | None:
     polled = store.poll()
     if isinstance(polled, PollFailed):
         return None
-    return polled.mark if polled.mark is not None else NO_HEAD.mark
+    return polled.head_id if polled.head_id is not None else NO_HEAD.head_id
 
 
-def _platform_line(mark: Mark | None) -> str:
-    if mark is None:
+def _platform_line(head_id: HeadId | None) -> str:
+    if head_id is None:
         return "platform: no answer"
-    return f"platform: revision {mark.revision}, edit {mark.edit_id or 'none'}"
+    return f"platform: revision {head_id.revision}, edit {head_id.edit_id or 'none'}"
 
 
 def _control_line(status: ControlStatus | Silent) -> str:
@@ -88,7 +88,7 @@
             return f"{where}: revision {revision}, edit {edit_id or 'none'}{alarm}"
 
 
-def _is_behind(status: ControlStatus | Silent, mark: Mark | None) -> bool:
+def _is_behind(status: ControlStatus | Silent, head_id: HeadId | None) -> bool:
     if isinstance(status, Silent):
         return True
-    return mark is not None and status.revision < mark.revision
+    return head_id is not None and status.revision < head_id.revision
--- a/src/azurefold/commands/waiting.py
+++ b/src/azurefold/commands/waiting.py
@@ -6,7 +6,7 @@
 
 from azurefold.commands.fleet import ControlStatus, Fleet, Silent
 from azurefold.core.clock import Clock, Millis
-from azurefold.core.configuration.head import Mark
+from azurefold.core.configuration.head import HeadId
 
 __all__ = ["Reach", "wait_until_in_force"]
 
@@ -41,13 +41,13 @@
 
 
 def wait_until_in_force(
-    mark: Mark, fleet: Fleet, clock: Clock, since: Millis, until: Millis
+    head_id: HeadId, fleet: Fleet, clock: Clock, since: Millis, until: Millis
 ) -> list[Reach]:
-    """Ask until every data centre has ``mark``, or time is up.
+    """Ask until every data centre has ``head_id``, or time is up.
 
     Parameters
     ----------
-    mark : Mark
+    head_id : HeadId
         What was accepted.
     fleet : Fleet
         Whom to ask.
@@ -59,7 +59,7 @@
     names = sorted({control.data_centre for control in fleet.controls})
     reached: dict[str, Reach] = {}
     while True:
-        missing = _missing(mark, fleet.statuses())
+        missing = _missing(head_id, fleet.statuses())
         now = clock.now()
         for name in names:
             if name not in reached and name not in missing:
@@ -72,24 +72,24 @@
 
 
 def _missing(
-    mark: Mark, statuses: list[ControlStatus | Silent]
+    head_id: HeadId, statuses: list[ControlStatus | Silent]
 ) -> dict[str, list[str]]:
     missing: dict[str, list[str]] = {}
     for status in statuses:
-        said = _lack(mark, status)
+        said = _lack(head_id, status)
         if said is not None:
             missing.setdefault(status.data_centre, []).append(f"{status.name} {said}")
     return missing
 
 
-def _lack(mark: Mark, status: ControlStatus | Silent) -> str | None:
+def _lack(head_id: HeadId, status: ControlStatus | Silent) -> str | None:
     match status:
         case Silent(reason=reason):
             return f"gives no status: {reason}"
-        case ControlStatus(revision=revision) if revision < mark.revision:
+        case ControlStatus(revision=revision) if revision < head_id.revision:
             return f"holds revision {revision}"
         case ControlStatus(revision=revision, edit_id=edit_id):
             # The same number may stand for another edit after a restore.
-            if revision == mark.revision and edit_id not in ("", mark.edit_id):
+            if revision == head_id.revision and edit_id not in ("", head_id.edit_id):
                 return f"holds another edit as revision {revision}"
     return None
--- a/src/azurefold/control/configuration.py
+++ b/src/azurefold/control/configuration.py
@@ -18,18 +18,18 @@
 from azurefold.control.peers import Peers
 from azurefold.core.clock import Clock, Millis
 from azurefold.core.configuration.follower import Follower
-from azurefold.core.configuration.head import NO_HEAD, Head, Mark
+from azurefold.core.configuration.head import NO_HEAD, Head, HeadId
 from azurefold.core.configuration.messages import (
     Action,
     Alarm,
     Announce,
+    AnnouncementReceived,
     Apply,
     FetchFailed,
     FetchHead,
     FetchSections,
+    HeadAnnouncement,
     HeadFetched,
-    MarkHeard,
-    MarkNews,
     Peer,
     Platform,
     PollNow,
@@ -39,7 +39,7 @@
     WriteBack,
 )
 from azurefold.core.configuration.messages import Event as FollowerEvent
-from azurefold.core.configuration.sections import assemble
+from azurefold.core.configuration.sections import assemble_configuration
 from azurefold.core.membership.messages import Send
 from azurefold.internal.logs import log_event
 from azurefold.site_store.configuration_store import Base, ConfigurationStore
@@ -85,7 +85,7 @@
     _raw: bytes = b""
     _raw_revision: int = 0
     _recent: dict[int, Head] = field(default_factory=dict)
-    _told: Mark = NO_HEAD.mark
+    _told: HeadId = NO_HEAD.head_id
     _told_at: Millis = 0
     _told_times: int = 0
 
@@ -98,7 +98,9 @@
     def raw(self) -> bytes:
         """The configuration in force as JSON, put together when asked for."""
         if self._raw_revision != self.revision:
-            self._raw = msgspec.json.encode(assemble(self.follower.sections))
+            self._raw = msgspec.json.encode(
+                assemble_configuration(self.follower.sections)
+            )
             self._raw_revision = self.revision
         return self._raw
 
@@ -116,11 +118,11 @@
             self._handle(Tick(self.live(), self.draw.random(), n_peers))
             if self._may_repeat(now):
                 age = self.follower.age_ms(now)
-                self._announce(Announce(self.follower.head.mark, age))
+                self._announce(Announce(self.follower.head.head_id, age))
 
-    def receive(self, news: MarkNews, sender: str) -> None:
+    def receive(self, news: HeadAnnouncement, sender: str) -> None:
         """Take what a peer says of the head that it holds."""
-        self._handle(MarkHeard(news.mark, Peer(sender), news.age_ms))
+        self._handle(AnnouncementReceived(news.head_id, Peer(sender), news.age_ms))
 
     def give_head(self, request: GetHead, sender: Opened) -> HeadReply:
         """Answer a peer that asks for the head, by a delta where one will do."""
@@ -131,7 +133,7 @@
 
     def give_sections(self, request: GetSections, sender: Opened) -> SectionsReply:
         """Answer a peer that asks for contents."""
-        held = self.follower.contents_of(request.hashes)
+        held = self.follower.get_contents(request.hashes)
         return SectionsReply(packed_sections(held))
 
     def _handle(self, event: FollowerEvent) -> None:
@@ -150,14 +152,14 @@
                 self._apply(action)
             case Announce():
                 self._announce(action)
-            case Alarm(kind=kind, held=held, heard=heard):
+            case Alarm(kind=kind, held=held, received=received):
                 log_event(
                     _log,
                     "configuration_alarm",
                     logging.ERROR,
                     kind=kind.name.lower(),
                     held=held.revision,
-                    heard=heard.revision,
+                    heard=received.revision,
                 )
             case WriteBack():
                 gevent.spawn(self._write_back, action)
@@ -238,25 +240,27 @@
         mark that all know would take most of the bytes that control may move.
         """
         now = self.clock.now()
-        is_news = action.mark != self._told
-        if action.mark.revision < max(1, self._told.revision):
+        is_news = action.head_id != self._told
+        if action.head_id.revision < max(1, self._told.revision):
             return
         if not is_news and not self._may_repeat(now):
             return
-        self._told, self._told_at = action.mark, now
+        self._told, self._told_at = action.head_id, now
         self._told_times += 1
         fanout = _NEAR_FANOUT_OF_NEWS if is_news else _NEAR_FANOUT
         chosen = _some(self.draw, self.peers.near, fanout)
         if is_news or self._told_times % _FAR_EVERY == 0:
             chosen += _some(self.draw, self.peers.far, 1)
-        news = MarkNews(action.mark, action.age_ms)
+        news = HeadAnnouncement(action.head_id, action.age_ms)
         self.send([Send(to, news) for to in chosen])
 
     def _may_repeat(self, now: Millis) -> bool:
         return now - self._told_at >= _GOSSIP_MS
 
     def _write_back(self, action: WriteBack) -> None:
-        done = self.store.write_back(action.head, action.sections, action.over_version)
+        done = self.store.write_back(
+            action.head, action.sections, action.expected_version
+        )
         log_event(_log, "written_back", revision=action.head.revision, took_effect=done)
 
 
--- a/src/azurefold/control/exchange.py
+++ b/src/azurefold/control/exchange.py
@@ -16,9 +16,9 @@
     Head,
     HeadDelta,
     apply_delta,
+    compute_delta,
     decode_head,
-    delta_between,
-    encode,
+    encode_json,
 )
 from azurefold.internal.logs import log_event
 
@@ -36,8 +36,8 @@
     the one that it holds, and understands only whole heads: it gets one.
     """
     if base is None or base.revision >= head.revision:
-        return encode(head)
-    return msgspec.json.encode(delta_between(base, head)).decode()
+        return encode_json(head)
+    return msgspec.json.encode(compute_delta(base, head)).decode()
 
 
 def unpacked_head(text: str, base: Head) -> Head | None:
--- a/src/azurefold/control/service.py
+++ b/src/azurefold/control/service.py
@@ -16,8 +16,8 @@
 from azurefold.control.peers import new_peers
 from azurefold.control.watch import EntryWatch
 from azurefold.core.clock import Millis
-from azurefold.core.configuration.follower import FollowerPolicy, follower
-from azurefold.core.configuration.messages import MarkNews
+from azurefold.core.configuration.follower import FollowerPolicy, create_follower
+from azurefold.core.configuration.messages import HeadAnnouncement
 from azurefold.core.membership.directory import Directory
 from azurefold.core.membership.endpoints import Endpoint, Role, State
 from azurefold.core.membership.messages import Send, Source
@@ -90,7 +90,7 @@
 
     def receive(self, message: AnyMessage, source: Source) -> list[Send]:
         """Hand a datagram whose seal was good to whom it concerns."""
-        if isinstance(message, MarkNews):
+        if isinstance(message, HeadAnnouncement):
             self.configuration.receive(message, source.name)
             return []
         return self.membership.receive(message, source)
@@ -138,7 +138,7 @@
     membership = MembershipLoop(directory, clock, draw, send)
     policy = FollowerPolicy(poll_interval_ms=settings.poll_interval_ms)
     configuration = ConfigurationLoop(
-        follower(settings.name, settings.data_centre, policy),
+        create_follower(settings.name, settings.data_centre, policy),
         configuration_store(platform),
         peers,
         clock,
--- a/src/azurefold/control/services.py
+++ b/src/azurefold/control/services.py
@@ -2,7 +2,11 @@
 
 from azurefold.border.configuration import configuration_from_raw
 from azurefold.core.configuration.model import Service
-from azurefold.core.configuration.sections import Sections, assemble, only_services
+from azurefold.core.configuration.sections import (
+    Sections,
+    assemble_configuration,
+    select_services,
+)
 
 __all__ = ["configured_services"]
 
@@ -18,5 +22,5 @@
     ValueError
         If this version cannot use the services.
     """
-    raw = assemble(only_services(sections))
+    raw = assemble_configuration(select_services(sections))
     return dict(configuration_from_raw(raw).services)
--- a/src/azurefold/control/watch.py
+++ b/src/azurefold/control/watch.py
@@ -10,7 +10,7 @@
 from azurefold.control.far import FarEndpoints
 from azurefold.control.membership import MembershipLoop
 from azurefold.core.clock import Millis
-from azurefold.core.configuration.head import NO_HEAD, Head, delta_between
+from azurefold.core.configuration.head import NO_HEAD, Head, compute_delta
 from azurefold.wire.seal import Opened
 from azurefold.wire.snapshot import EndpointInfo, SnapshotUpdate, WatchRequest
 
@@ -85,7 +85,7 @@
         is_partial: bool = False,
     ) -> SnapshotUpdate:
         """Return what turns ``held`` into ``head``: all of it if that is unknown."""
-        delta = delta_between(held or NO_HEAD, head)
+        delta = compute_delta(held or NO_HEAD, head)
         contents = self.configuration.follower.sections
         return SnapshotUpdate(
             revision=head.revision,
--- a/src/azurefold/core/configuration/acceptance.py
+++ b/src/azurefold/core/configuration/acceptance.py
@@ -10,53 +10,53 @@
 from dataclasses import dataclass
 
 from azurefold.core.clock import Millis
-from azurefold.core.configuration.head import Head, Mark
+from azurefold.core.configuration.head import Head, HeadId
 
 __all__ = [
     "Acceptance",
+    "AcceptanceUnknown",
     "Accepted",
-    "Event",
-    "Lost",
     "NotAccepted",
-    "NotDone",
     "Outcome",
-    "Refused",
-    "StillUnknown",
+    "OutcomeUnknown",
     "Submit",
-    "TookEffect",
+    "WriteConflict",
+    "WriteNotApplied",
+    "WriteResult",
+    "WriteSucceeded",
 ]
 
 DEFAULT_RETRY_MS: Millis = 200
 
 
 @dataclass(frozen=True, slots=True)
-class TookEffect:
+class WriteSucceeded:
     """The platform said that the write took effect."""
 
 
 @dataclass(frozen=True, slots=True)
-class Refused:
+class WriteConflict:
     """The platform said that the condition did not hold.
 
     Parameters
     ----------
-    present : Mark or None
+    current : HeadId or None
         The head that is in the table now.
     edit_id : str
         Edit that has the revision asked for; empty if none has it.
     """
 
-    present: Mark | None
+    current: HeadId | None
     edit_id: str
 
 
 @dataclass(frozen=True, slots=True)
-class Lost:
+class OutcomeUnknown:
     """The answer was lost; the write may have taken effect, or yet may."""
 
 
 @dataclass(frozen=True, slots=True)
-class NotDone:
+class WriteNotApplied:
     """The write certainly did not take effect.
 
     Parameters
@@ -68,7 +68,7 @@
     reason: str
 
 
-Event = TookEffect | Refused | Lost | NotDone
+WriteResult = WriteSucceeded | WriteConflict | OutcomeUnknown | WriteNotApplied
 
 
 @dataclass(frozen=True, slots=True)
@@ -91,7 +91,7 @@
 class Accepted:
     """The edit was accepted."""
 
-    mark: Mark
+    head_id: HeadId
 
 
 @dataclass(frozen=True, slots=True)
@@ -102,22 +102,22 @@
     ----------
     reason : str
         Why not.
-    present : Mark or None
+    current : HeadId or None
         The head that is in the table instead, if it is known.
     """
 
     reason: str
-    present: Mark | None = None
+    current: HeadId | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class StillUnknown:
+class AcceptanceUnknown:
     """Nobody can say yet; asking again with the edit's id will tell."""
 
-    mark: Mark
+    head_id: HeadId
 
 
-Outcome = Accepted | NotAccepted | StillUnknown
+Outcome = Accepted | NotAccepted | AcceptanceUnknown
 
 
 class Acceptance:
@@ -145,34 +145,34 @@
         """Return the first action."""
         return Submit(self._head, 0)
 
-    def handle(self, event: Event, now: Millis) -> Submit | Outcome:
+    def handle(self, event: WriteResult, now: Millis) -> Submit | Outcome:
         """Return what follows from ``event`` at ``now``."""
         match event:
-            case TookEffect():
-                return Accepted(self._head.mark)
-            case Refused():
+            case WriteSucceeded():
+                return Accepted(self._head.head_id)
+            case WriteConflict():
                 return self._after_conflict(event)
-            case Lost():
+            case OutcomeUnknown():
                 self._in_doubt = True
                 return self._again_or_give_up("its answer was lost", now)
-            case NotDone(reason=reason):
+            case WriteNotApplied(reason=reason):
                 return self._again_or_give_up(reason, now)
 
-    def _after_conflict(self, refused: Refused) -> Outcome:
+    def _after_conflict(self, conflict: WriteConflict) -> Outcome:
         # What goes wrong without this: the answer to a write that took effect
         # is lost, the repeat meets its own row, and the operator is told that
         # a rival won. One would notice an edit in force that was "refused".
-        if refused.edit_id == self._head.edit_id:
-            return Accepted(self._head.mark)
-        if self._in_doubt and not refused.edit_id:
+        if conflict.edit_id == self._head.edit_id:
+            return Accepted(self._head.head_id)
+        if self._in_doubt and not conflict.edit_id:
             # The table has neither this edit nor another under the revision:
             # its row was pruned or the store was restored. No proof is left.
-            return StillUnknown(self._head.mark)
-        return NotAccepted("the base has changed meanwhile", refused.present)
+            return AcceptanceUnknown(self._head.head_id)
+        return NotAccepted("the base has changed meanwhile", conflict.current)
 
     def _again_or_give_up(self, reason: str, now: Millis) -> Submit | Outcome:
         if now + self._retry_ms < self._deadline:
             return Submit(self._head, self._retry_ms)
         if self._in_doubt:
-            return StillUnknown(self._head.mark)
+            return AcceptanceUnknown(self._head.head_id)
         return NotAccepted(f"the platform did not take it: {reason}")
--- a/src/azurefold/core/configuration/changes.py
+++ b/src/azurefold/core/configuration/changes.py
@@ -5,7 +5,7 @@
 from enum import StrEnum
 from typing import Any
 
-__all__ = ["Change", "ChangeKind", "changed_names", "changes"]
+__all__ = ["Change", "ChangeKind", "find_changed_names", "find_changes"]
 
 _ABSENT = object()
 
@@ -38,24 +38,26 @@
     new: Any = None
 
 
-def changes(old: Any, new: Any) -> list[Change]:
+def find_changes(old: Any, new: Any) -> list[Change]:
     """Return what turns ``old`` into ``new``, sorted by path.
 
     Examples
     --------
-    >>> changes({"a": {"x": 1}}, {"a": {"x": 2}})[0].path
+    >>> find_changes({"a": {"x": 1}}, {"a": {"x": 2}})[0].path
     'a.x'
     """
     return sorted(_walk((), old, new), key=lambda change: change.path)
 
 
-def changed_names(old: Mapping[str, Any], new: Mapping[str, Any]) -> tuple[str, ...]:
+def find_changed_names(
+    old: Mapping[str, Any], new: Mapping[str, Any]
+) -> tuple[str, ...]:
     """Return services and organisations that differ.
 
     Examples
     --------
     >>> old = {"services": {"a": 1}, "organisations": {}}
-    >>> changed_names(old, {"services": {}, "organisations": {"o": 2}})
+    >>> find_changed_names(old, {"services": {}, "organisations": {"o": 2}})
     ('organisations.o', 'services.a')
     """
     names = set()
--- a/src/azurefold/core/configuration/first_fetch.py
+++ b/src/azurefold/core/configuration/first_fetch.py
@@ -15,16 +15,16 @@
 from math import log
 
 from azurefold.core.clock import Millis
-from azurefold.core.configuration.head import Mark
+from azurefold.core.configuration.head import HeadId
 from azurefold.core.configuration.messages import Tick
 
-__all__ = ["FirstFetch", "wait_before_fetch"]
+__all__ = ["FirstFetchDelay", "compute_fetch_delay"]
 
 _MAY_READ_TOGETHER = 6
 """Processes that need no wait: each reads some 290 of 2,000 reads a second."""
 
 
-def wait_before_fetch(n_peers: int, jitter: float, scale_ms: Millis) -> Millis:
+def compute_fetch_delay(n_peers: int, jitter: float, scale_ms: Millis) -> Millis:
     """Return how long to wait for peers before reading from the platform.
 
     Parameters
@@ -38,9 +38,9 @@
 
     Examples
     --------
-    >>> wait_before_fetch(5, 0.99, 1_000)
+    >>> compute_fetch_delay(5, 0.99, 1_000)
     0
-    >>> wait_before_fetch(389, 0.5, 1_000)
+    >>> compute_fetch_delay(389, 0.5, 1_000)
     5272
     """
     if n_peers + 1 <= _MAY_READ_TOGETHER:
@@ -49,34 +49,34 @@
     return int(scale_ms * log(max(1.0, expected_before)))
 
 
-class FirstFetch:
+class FirstFetchDelay:
     """Holds the platform's offer back from a process that holds nothing.
 
     Parameters
     ----------
     scale_ms : int
-        See :func:`wait_before_fetch`.
+        See :func:`compute_fetch_delay`.
     """
 
     def __init__(self, scale_ms: Millis) -> None:
         self._scale_ms = scale_ms
         self._wait_ms: Millis = 0
-        self._mark: Mark | None = None
+        self._mark: HeadId | None = None
         self._due_at: Millis = 0
 
     def draw(self, tick: Tick) -> None:
         """Draw the wait of the next offer."""
-        self._wait_ms = wait_before_fetch(tick.n_peers, tick.jitter, self._scale_ms)
+        self._wait_ms = compute_fetch_delay(tick.n_peers, tick.jitter, self._scale_ms)
 
-    def hold(self, mark: Mark, now: Millis) -> None:
+    def hold(self, head_id: HeadId, now: Millis) -> None:
         """Hold an offer back; one that is held already keeps its moment."""
         if self._mark is None:
             self._due_at = now + self._wait_ms
-        self._mark = mark
+        self._mark = head_id
 
-    def release(self, now: Millis) -> Mark | None:
+    def release(self, now: Millis) -> HeadId | None:
         """Return the offer once its moment has come; then it is held no more."""
         if self._mark is None or now < self._due_at:
             return None
-        mark, self._mark = self._mark, None
-        return mark
+        head_id, self._mark = self._mark, None
+        return head_id
--- a/src/azurefold/core/configuration/follower.py
+++ b/src/azurefold/core/configuration/follower.py
@@ -3,12 +3,12 @@
 from collections.abc import Iterable
 
 from azurefold.core.clock import Millis
-from azurefold.core.configuration.first_fetch import FirstFetch
+from azurefold.core.configuration.first_fetch import FirstFetchDelay
 from azurefold.core.configuration.head import (
     NO_HEAD,
     Head,
-    Mark,
-    is_built_upon,
+    HeadId,
+    is_descendant_of,
 )
 from azurefold.core.configuration.lineage import Lineage
 from azurefold.core.configuration.messages import (
@@ -16,13 +16,13 @@
     Alarm,
     AlarmKind,
     Announce,
+    AnnouncementReceived,
     Apply,
     Event,
     FetchFailed,
     FetchHead,
     FetchSections,
     HeadFetched,
-    MarkHeard,
     Platform,
     PlatformPolled,
     PollFailed,
@@ -35,7 +35,7 @@
 from azurefold.core.configuration.schedule import FollowerPolicy, PollSchedule
 from azurefold.core.configuration.sections import Sections, content_hash
 
-__all__ = ["Follower", "FollowerPolicy", "follower"]
+__all__ = ["Follower", "FollowerPolicy", "create_follower"]
 
 
 class Follower:
@@ -52,12 +52,12 @@
     def __init__(self, name: str, data_centre: str, policy: FollowerPolicy) -> None:
         self._policy = policy
         self._schedule = PollSchedule(name, data_centre, policy)
-        self._first_fetch = FirstFetch(policy.first_fetch_scale_ms)
+        self._first_fetch = FirstFetchDelay(policy.first_fetch_scale_ms)
         self._lineage = Lineage()
         self._head = NO_HEAD
-        self._mark = NO_HEAD.mark
+        self._mark = NO_HEAD.head_id
         self._contents: dict[str, bytes] = {}
-        self._offers: dict[Source, Mark] = {}
+        self._offers: dict[Source, HeadId] = {}
         self._wanted: Head | None = None
         self._asked: Source | None = None
         self._asked_at: Millis = 0
@@ -78,7 +78,7 @@
         """All alarms raised since the start."""
         return frozenset(self._alarms)
 
-    def contents_of(self, hashes: Iterable[str]) -> dict[str, bytes]:
+    def get_contents(self, hashes: Iterable[str]) -> dict[str, bytes]:
         """Return those of the contents asked for that are held, for a peer."""
         return {each: self._contents[each] for each in hashes if each in self._contents}
 
@@ -89,7 +89,7 @@
     def handle(self, event: Event, now: Millis) -> list[Action]:
         """Return what is to be done after ``event`` at ``now``."""
         match event:
-            case MarkHeard():
+            case AnnouncementReceived():
                 return self._on_mark(event, now)
             case PlatformPolled():
                 return self._on_polled(event, now)
@@ -104,57 +104,57 @@
             case Tick():
                 return self._on_tick(event, now)
 
-    def _on_mark(self, event: MarkHeard, now: Millis) -> list[Action]:
-        mark = event.mark
+    def _on_mark(self, event: AnnouncementReceived, now: Millis) -> list[Action]:
+        head_id = event.head_id
         if event.age_ms is not None:
-            self._note_fresh(mark, now - event.age_ms)
-        if mark.revision == self._mark.revision and mark != self._mark:
-            return self._alarm(AlarmKind.FORKED, mark)
-        return self._offered(event.peer, mark, now)
+            self._note_fresh(head_id, now - event.age_ms)
+        if head_id.revision == self._mark.revision and head_id != self._mark:
+            return self._alarm(AlarmKind.FORKED, head_id)
+        return self._offered(event.peer, head_id, now)
 
     def _on_polled(self, event: PlatformPolled, now: Millis) -> list[Action]:
-        mark = event.mark if event.mark is not None else NO_HEAD.mark
-        self._note_fresh(mark, now)
+        head_id = event.head_id if event.head_id is not None else NO_HEAD.head_id
+        self._note_fresh(head_id, now)
         actions: list[Action] = []
-        if mark.revision > self._mark.revision:
-            actions += self._on_higher(mark, now)
-        elif mark != self._mark:
-            actions += self._on_lower(mark, event.row_version)
+        if head_id.revision > self._mark.revision:
+            actions += self._on_higher(head_id, now)
+        elif head_id != self._mark:
+            actions += self._on_lower(head_id, event.row_version)
         return [*actions, Announce(self._mark, self.age_ms(now))]
 
-    def _on_higher(self, mark: Mark, now: Millis) -> list[Action]:
+    def _on_higher(self, head_id: HeadId, now: Millis) -> list[Action]:
         if self._head is NO_HEAD:
-            self._first_fetch.hold(mark, now)
+            self._first_fetch.hold(head_id, now)
             return self._release_first_fetch(now)
-        return self._offered(Platform(), mark, now)
+        return self._offered(Platform(), head_id, now)
 
     def _release_first_fetch(self, now: Millis) -> list[Action]:
-        mark = self._first_fetch.release(now)
-        return [] if mark is None else self._offered(Platform(), mark, now)
+        head_id = self._first_fetch.release(now)
+        return [] if head_id is None else self._offered(Platform(), head_id, now)
 
-    def _note_fresh(self, mark: Mark, at: Millis) -> None:
+    def _note_fresh(self, head_id: HeadId, at: Millis) -> None:
         # Whoever is behind must not call itself fresh. Its announcements would
         # keep all the others from looking, while it may be unable to fetch
         # what it has seen: one sees an edit in force nowhere, and no polls.
-        if mark.revision <= self._mark.revision:
-            self._schedule.heard_fresh(at)
+        if head_id.revision <= self._mark.revision:
+            self._schedule.record_confirmation(at)
 
-    def _on_lower(self, mark: Mark, row_version: int | None) -> list[Action]:
+    def _on_lower(self, head_id: HeadId, row_version: int | None) -> list[Action]:
         # A store restored from an older copy shows a lower head. Following it
         # would take an accepted configuration back, and only the operators'
         # surprise would tell. The held head is kept; if the lower one is a
         # known ancestor no edit is lost by writing the held head back over it.
         # Another line's edit was accepted by someone: only people can decide.
-        if not self._lineage.leads_from(mark, self._head):
-            return self._alarm(AlarmKind.FORKED, mark)
-        actions = self._alarm(AlarmKind.RESTORED, mark)
+        if not self._lineage.is_ancestor(head_id, self._head):
+            return self._alarm(AlarmKind.FORKED, head_id)
+        actions = self._alarm(AlarmKind.RESTORED, head_id)
         return [*actions, WriteBack(self._head, self.sections, row_version)]
 
-    def _offered(self, source: Source, mark: Mark, now: Millis) -> list[Action]:
-        if mark.revision <= self._head.revision:
+    def _offered(self, source: Source, head_id: HeadId, now: Millis) -> list[Action]:
+        if head_id.revision <= self._head.revision:
             self._offers.pop(source, None)
             return []
-        self._offers[source] = mark
+        self._offers[source] = head_id
         if self._asked is not None:
             return []
         return self._ask_best(now)
@@ -209,16 +209,16 @@
     def _apply(self, now: Millis) -> list[Action]:
         head, self._wanted, self._asked = self._wanted, None, None
         actions: list[Action] = []
-        mark = head.mark
-        if not (is_built_upon(head, self._mark) or self._too_far_to_tell(head)):
-            actions += self._alarm(AlarmKind.LINE_REPLACED, mark)
-        self._head, self._mark = head, mark
-        self._lineage.remember(head)
+        head_id = head.head_id
+        if not (is_descendant_of(head, self._mark) or self._too_far_to_tell(head)):
+            actions += self._alarm(AlarmKind.LINE_REPLACED, head_id)
+        self._head, self._mark = head, head_id
+        self._lineage.record(head)
         self._contents = {k: self._contents[k] for k in set(head.sections.values())}
         offers = self._offers.items()
-        self._offers = {k: v for k, v in offers if v.revision > mark.revision}
+        self._offers = {k: v for k, v in offers if v.revision > head_id.revision}
         actions.append(Apply(head, self.sections))
-        actions.append(Announce(mark, self.age_ms(now)))
+        actions.append(Announce(head_id, self.age_ms(now)))
         return actions + self._ask_best(now)
 
     def _too_far_to_tell(self, head: Head) -> bool:
@@ -232,8 +232,8 @@
             return self._ask_best(now, but=source)
         others = [
             each
-            for each, mark in self._offers.items()
-            if mark.revision >= self._wanted.revision
+            for each, head_id in self._offers.items()
+            if head_id.revision >= self._wanted.revision
         ]
         if others:
             return self._apply_or_fetch(others[0], now)
@@ -251,7 +251,7 @@
     def _fetch_is_overdue(self, now: Millis) -> bool:
         return now - self._asked_at >= self._policy.fetch_timeout_ms
 
-    def _alarm(self, kind: AlarmKind, heard: Mark) -> list[Action]:
+    def _alarm(self, kind: AlarmKind, heard: HeadId) -> list[Action]:
         alarm = Alarm(kind, self._mark, heard)
         if alarm in self._alarms:
             return []
@@ -259,7 +259,7 @@
         return [alarm]
 
 
-def follower(
+def create_follower(
     name: str, data_centre: str, policy: FollowerPolicy | None = None
 ) -> Follower:
     """Return a follower that holds nothing yet.
@@ -274,7 +274,7 @@
     return Follower(name, data_centre, policy or FollowerPolicy())
 
 
-def _is_damaged(head: Head, offer: Mark) -> bool:
+def _is_damaged(head: Head, offer: HeadId) -> bool:
     if head.revision != offer.revision or head.edit_id != offer.edit_id:
         return False
-    return head.mark.digest != offer.digest
+    return head.head_id.digest != offer.digest
--- a/src/azurefold/core/configuration/head.py
+++ b/src/azurefold/core/configuration/head.py
@@ -14,29 +14,29 @@
 from azurefold.core.configuration.sections import canonical_bytes, content_hash
 
 __all__ = [
-    "LONGEST_CHAIN",
+    "MAX_CHAIN_LENGTH",
     "NO_HEAD",
     "Head",
     "HeadDelta",
-    "Mark",
-    "Relation",
+    "HeadId",
+    "HeadRelation",
     "apply_delta",
+    "build_next_head",
+    "classify_relation",
+    "compute_delta",
     "decode_head",
-    "decode_mark",
-    "delta_between",
-    "encode",
-    "is_built_upon",
-    "next_head",
-    "relation",
+    "decode_head_id",
+    "encode_json",
+    "is_descendant_of",
 ]
 
-LONGEST_CHAIN = 32
+MAX_CHAIN_LENGTH = 32
 """Edits that a head remembers. A process further behind than this cannot tell
 an ancestor from a stranger and takes the head for a stranger, with an alarm."""
 
 
 @dataclass(frozen=True, slots=True)
-class Mark:
+class HeadId:
     """A head in short, small enough for each heartbeat and poll.
 
     Parameters
@@ -76,17 +76,17 @@
     chain: tuple[str, ...] = ()
 
     @property
-    def mark(self) -> Mark:
+    def head_id(self) -> HeadId:
         """This head in short."""
         digest = content_hash(canonical_bytes(self.sections))
-        return Mark(self.revision, self.edit_id, digest)
+        return HeadId(self.revision, self.edit_id, digest)
 
 
 NO_HEAD = Head(0, "", {})
 """Before the first accepted edit."""
 
 
-class Relation(Enum):
+class HeadRelation(Enum):
     """How a mark that was heard stands to the head that is held."""
 
     SAME = auto()
@@ -97,26 +97,28 @@
     """Same number or lower, but of another line."""
 
 
-def relation(held: Head, heard: Mark) -> Relation:
+def classify_relation(held: Head, heard: HeadId) -> HeadRelation:
     """Return how ``heard`` stands to ``held``.
 
     Examples
     --------
     >>> held = Head(5, "e5", {}, ("e4", "e3"))
-    >>> relation(held, Mark(3, "e3", "")).name
+    >>> classify_relation(held, HeadId(3, "e3", "")).name
     'ANCESTOR'
-    >>> relation(held, Mark(5, "other", "")).name
+    >>> classify_relation(held, HeadId(5, "other", "")).name
     'FORKED'
     """
     if heard.revision > held.revision:
-        return Relation.NEWER
+        return HeadRelation.NEWER
     if heard.revision == held.revision:
         same = heard.edit_id == held.edit_id
-        return Relation.SAME if same else Relation.FORKED
-    return Relation.ANCESTOR if is_built_upon(held, heard) else Relation.FORKED
+        return HeadRelation.SAME if same else HeadRelation.FORKED
+    return (
+        HeadRelation.ANCESTOR if is_descendant_of(held, heard) else HeadRelation.FORKED
+    )
 
 
-def is_built_upon(head: Head, older: Mark) -> bool:
+def is_descendant_of(head: Head, older: HeadId) -> bool:
     """Return whether the chain of ``head`` is known to name ``older``."""
     if older.revision == NO_HEAD.revision:
         return True
@@ -124,8 +126,8 @@
     return 0 <= back < len(head.chain) and head.chain[back] == older.edit_id
 
 
-def next_head(
-    base: Head, edit_id: str, sections: Mapping[str, str], above: int = 0
+def build_next_head(
+    base: Head, edit_id: str, sections: Mapping[str, str], held_revision: int = 0
 ) -> Head:
     """Return the head that follows ``base``.
 
@@ -137,15 +139,15 @@
         Random id of the edit.
     sections : mapping of str to str
         Content hash of each section by name.
-    above : int, default=0
+    held_revision : int, default=0
         A revision that processes hold already though the restored store does
         not: the new one must be higher, or they would not take it.
     """
-    if above > base.revision:
+    if held_revision > base.revision:
         # Numbers are skipped, so places in the chain would name wrong edits.
-        return Head(above + 1, edit_id, dict(sections))
+        return Head(held_revision + 1, edit_id, dict(sections))
     chain = (base.edit_id, *base.chain) if base.revision else ()
-    return Head(base.revision + 1, edit_id, dict(sections), chain[:LONGEST_CHAIN])
+    return Head(base.revision + 1, edit_id, dict(sections), chain[:MAX_CHAIN_LENGTH])
 
 
 @dataclass(frozen=True, slots=True)
@@ -172,7 +174,7 @@
     removed: tuple[str, ...]
 
 
-def delta_between(base: Head, head: Head) -> HeadDelta:
+def compute_delta(base: Head, head: Head) -> HeadDelta:
     """Return what turns ``base`` into ``head``."""
     changed = {
         name: hashed
@@ -181,7 +183,7 @@
     }
     removed = sorted(base.sections.keys() - head.sections.keys())
     return HeadDelta(
-        base.mark.digest,
+        base.head_id.digest,
         head.revision,
         head.edit_id,
         head.chain,
@@ -198,7 +200,7 @@
     ValueError
         If the delta starts from another head; ask for the whole head then.
     """
-    if delta.base != base.mark.digest:
+    if delta.base != base.head_id.digest:
         raise ValueError("the delta starts from another head; ask for the whole one")
     sections = {**base.sections, **delta.changed}
     for name in delta.removed:
@@ -206,13 +208,13 @@
     return Head(delta.revision, delta.edit_id, sections, delta.chain)
 
 
-def encode(part: Head | Mark) -> str:
+def encode_json(part: Head | HeadId) -> str:
     """Return ``part`` as JSON in its one spelling."""
     return canonical_bytes(asdict(part)).decode("utf-8")
 
 
 def decode_head(text: str) -> Head:
-    """Return the head that :func:`encode` wrote.
+    """Return the head that :func:`encode_json` wrote.
 
     Raises
     ------
@@ -228,8 +230,8 @@
         raise ValueError(f"not a head: {error}") from error
 
 
-def decode_mark(text: str) -> Mark:
-    """Return the mark that :func:`encode` wrote.
+def decode_head_id(text: str) -> HeadId:
+    """Return the mark that :func:`encode_json` wrote.
 
     Raises
     ------
@@ -238,7 +240,7 @@
     """
     raw = _object(text)
     try:
-        return Mark(int(raw["revision"]), str(raw["edit_id"]), str(raw["digest"]))
+        return HeadId(int(raw["revision"]), str(raw["edit_id"]), str(raw["digest"]))
     except (KeyError, TypeError) as error:
         raise ValueError(f"not a mark: {error}") from error
 
--- a/src/azurefold/core/configuration/messages.py
+++ b/src/azurefold/core/configuration/messages.py
@@ -4,7 +4,7 @@
 from enum import Enum, auto
 
 from azurefold.core.clock import Millis
-from azurefold.core.configuration.head import Head, Mark
+from azurefold.core.configuration.head import Head, HeadId
 from azurefold.core.configuration.sections import Sections
 
 __all__ = [
@@ -12,14 +12,14 @@
     "Alarm",
     "AlarmKind",
     "Announce",
+    "AnnouncementReceived",
     "Apply",
     "Event",
     "FetchFailed",
     "FetchHead",
     "FetchSections",
+    "HeadAnnouncement",
     "HeadFetched",
-    "MarkHeard",
-    "MarkNews",
     "Peer",
     "Platform",
     "PlatformPolled",
@@ -48,12 +48,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MarkHeard:
+class AnnouncementReceived:
     """A peer announced what it holds.
 
     Parameters
     ----------
-    mark : Mark
+    head_id : HeadId
         The head that the peer has applied.
     peer : Peer
         Who said so.
@@ -62,23 +62,23 @@
         heard from; ``None`` if it does not know.
     """
 
-    mark: Mark
+    head_id: HeadId
     peer: Peer
     age_ms: Millis | None
 
 
 @dataclass(frozen=True, slots=True)
-class MarkNews:
+class HeadAnnouncement:
     """What a process tells its peers of the head it has applied.
 
     Parameters
     ----------
-    mark : Mark
+    head_id : HeadId
     age_ms : int or None
-        As in :class:`MarkHeard`.
+        As in :class:`AnnouncementReceived`.
     """
 
-    mark: Mark
+    head_id: HeadId
     age_ms: Millis | None
 
 
@@ -88,13 +88,13 @@
 
     Parameters
     ----------
-    mark : Mark or None
+    head_id : HeadId or None
         The head in the table; ``None`` if there is none.
     row_version : int or None
         Version of the mark's row, the condition for writing over it.
     """
 
-    mark: Mark | None
+    head_id: HeadId | None
     row_version: int | None
 
 
@@ -147,7 +147,7 @@
 
 
 Event = (
-    MarkHeard
+    AnnouncementReceived
     | PlatformPolled
     | PollFailed
     | HeadFetched
@@ -164,20 +164,20 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchHead:
-    """Get the head that ``mark`` names.
+    """Get the head that ``head_id`` names.
 
     Parameters
     ----------
     source : Peer or Platform
         Whom to ask.
-    mark : Mark
+    head_id : HeadId
         What is wanted; a newer head is welcome as well.
     base_digest : str
         Digest of the head that is held: a peer that knows it may send a delta.
     """
 
     source: Source
-    mark: Mark
+    head_id: HeadId
     base_digest: str
 
 
@@ -204,7 +204,7 @@
     It is soft state: losing it costs time only.
     """
 
-    mark: Mark
+    head_id: HeadId
     age_ms: Millis | None
 
 
@@ -226,8 +226,8 @@
     """Something an operator must know, raised once for each pair of heads."""
 
     kind: AlarmKind
-    held: Mark
-    heard: Mark
+    held: HeadId
+    received: HeadId
 
 
 @dataclass(frozen=True, slots=True)
@@ -240,13 +240,13 @@
         What is held.
     sections : dict of str to bytes
         Its contents, which the store may have lost too.
-    over_version : int or None
+    expected_version : int or None
         Version of the mark's row that was seen; the write's condition.
     """
 
     head: Head
     sections: Sections
-    over_version: int | None
+    expected_version: int | None
 
 
 Action = PollNow | FetchHead | FetchSections | Apply | Announce | Alarm | WriteBack
--- a/src/azurefold/core/configuration/model.py
+++ b/src/azurefold/core/configuration/model.py
@@ -10,16 +10,16 @@
     "BookingHours",
     "Configuration",
     "Group",
-    "Kind",
     "Limits",
     "Objectives",
     "Organisation",
     "Priority",
     "Service",
+    "ServiceKind",
 ]
 
 
-class Kind(StrEnum):
+class ServiceKind(StrEnum):
     """What stands behind a service's endpoints."""
 
     MODEL = "model"
@@ -126,14 +126,14 @@
     """A service that requests are routed to."""
 
     name: str
-    kind: Kind
+    kind: ServiceKind
     data_centres: tuple[str, ...]
     endpoints: tuple[str, ...]
     groups: tuple[Group, ...] = ()
     model: str = ""
     priority: Priority = Priority.DRAFT
     depends_on: tuple[str, ...] = ()
-    idempotent: bool = True
+    is_idempotent: bool = True
     objectives: Objectives = Objectives()
     limits: Limits = Limits()
     balance: Balance = Balance()
@@ -169,7 +169,7 @@
     services: dict[str, Service] = field(default_factory=dict)
     organisations: dict[str, Organisation] = field(default_factory=dict)
 
-    def service_of(self, endpoint: str) -> Service | None:
+    def find_service(self, endpoint: str) -> Service | None:
         """Return the service that ``endpoint`` belongs to."""
         for service in self.services.values():
             if endpoint in service.endpoints:
--- a/src/azurefold/core/configuration/schedule.py
+++ b/src/azurefold/core/configuration/schedule.py
@@ -23,7 +23,7 @@
     fetch_timeout_ms : int
         After which another source is asked.
     first_fetch_scale_ms : int
-        See :func:`azurefold.core.configuration.first_fetch.wait_before_fetch`.
+        See :func:`azurefold.core.configuration.first_fetch.compute_fetch_delay`.
     """
 
     poll_interval_ms: Millis = 1_000
@@ -55,7 +55,7 @@
         """Return the age of the last look that anybody told of, or ``None``."""
         return None if self._fresh_at is None else now - self._fresh_at
 
-    def heard_fresh(self, at: Millis) -> None:
+    def record_confirmation(self, at: Millis) -> None:
         """Note that the platform had nothing newer at ``at``."""
         if self._fresh_at is not None and at <= self._fresh_at:
             return
--- a/src/azurefold/core/configuration/sections.py
+++ b/src/azurefold/core/configuration/sections.py
@@ -13,11 +13,11 @@
 __all__ = [
     "N_CHUNKS",
     "Sections",
-    "assemble",
+    "assemble_configuration",
     "canonical_bytes",
     "content_hash",
-    "only_services",
-    "split",
+    "select_services",
+    "split_configuration",
 ]
 
 N_CHUNKS = 256
@@ -53,7 +53,7 @@
     return hashlib.sha256(data).hexdigest()
 
 
-def split(raw: Mapping[str, Any], n_chunks: int = N_CHUNKS) -> Sections:
+def split_configuration(raw: Mapping[str, Any], n_chunks: int = N_CHUNKS) -> Sections:
     """Split plain JSON values of a configuration into sections.
 
     Parameters
@@ -70,7 +70,7 @@
 
     Examples
     --------
-    >>> sorted(split({"services": {"bookings": {}}, "organisations": {}}))
+    >>> sorted(split_configuration({"services": {"bookings": {}}, "organisations": {}}))
     ['service/bookings']
     """
     sections = {
@@ -85,7 +85,7 @@
     return sections
 
 
-def assemble(sections: Mapping[str, bytes]) -> dict[str, Any]:
+def assemble_configuration(sections: Mapping[str, bytes]) -> dict[str, Any]:
     """Put sections together again.
 
     Raises
@@ -96,7 +96,7 @@
     Examples
     --------
     >>> raw = {"services": {"a": {"x": 1}}, "organisations": {"o": {}}}
-    >>> assemble(split(raw)) == raw
+    >>> assemble_configuration(split_configuration(raw)) == raw
     True
     """
     services: dict[str, Any] = {}
@@ -112,12 +112,12 @@
     return {"services": services, "organisations": organisations}
 
 
-def only_services(sections: Mapping[str, bytes]) -> Sections:
+def select_services(sections: Mapping[str, bytes]) -> Sections:
     """Return the sections that hold services.
 
     Examples
     --------
-    >>> sorted(only_services({"service/a": b"{}", "organisations/0": b"{}"}))
+    >>> sorted(select_services({"service/a": b"{}", "organisations/0": b"{}"}))
     ['service/a']
     """
     prefix = f"{_SERVICE}/"
--- a/src/azurefold/entry/watcher.py
+++ b/src/azurefold/entry/watcher.py
@@ -8,9 +8,9 @@
 from azurefold.border.configuration import configuration_from_raw
 from azurefold.core.admission.messages import Priority
 from azurefold.core.clock import Millis
-from azurefold.core.configuration.model import Configuration, Kind, Service
+from azurefold.core.configuration.model import Configuration, Service, ServiceKind
 from azurefold.core.configuration.model import Priority as ServicePriority
-from azurefold.core.configuration.sections import assemble
+from azurefold.core.configuration.sections import assemble_configuration
 from azurefold.entry.organisations import Organisations
 from azurefold.entry.services import EndpointView, Services, ServiceView
 from azurefold.internal.logs import log_event
@@ -82,10 +82,10 @@
         ValueError
             If this version cannot use what was sent.
         """
-        raw = assemble({**self._services, **self._unchecked})
+        raw = assemble_configuration({**self._services, **self._unchecked})
         checked = configuration_from_raw(raw)
         for name, data in self._unchecked.items():
-            chunk = assemble({name: data})["organisations"]
+            chunk = assemble_configuration({name: data})["organisations"]
             self._organisations[name] = frozenset(chunk)
         self._unchecked.clear()
         return checked
@@ -155,9 +155,9 @@
 def _view(service: Service) -> ServiceView:
     return ServiceView(
         name=service.name,
-        is_model=service.kind is Kind.MODEL,
+        is_model=service.kind is ServiceKind.MODEL,
         priority=_PRIORITIES[service.priority],
-        idempotent=service.idempotent,
+        idempotent=service.is_idempotent,
         timeout_ms=service.limits.timeout_ms,
         max_queue=service.limits.max_queue,
         endpoints=service.endpoints,
--- a/src/azurefold/site_store/configuration_store.py
+++ b/src/azurefold/site_store/configuration_store.py
@@ -12,19 +12,19 @@
 from gevent.pool import Pool
 
 from azurefold.core.configuration.acceptance import (
-    Event,
-    Lost,
-    NotDone,
-    Refused,
-    TookEffect,
+    OutcomeUnknown,
+    WriteConflict,
+    WriteNotApplied,
+    WriteResult,
+    WriteSucceeded,
 )
 from azurefold.core.configuration.head import (
     NO_HEAD,
     Head,
-    Mark,
+    HeadId,
     decode_head,
-    decode_mark,
-    encode,
+    decode_head_id,
+    encode_json,
 )
 from azurefold.core.configuration.messages import PlatformPolled, PollFailed
 from azurefold.core.configuration.sections import Sections
@@ -106,7 +106,7 @@
         if row is None:
             return PlatformPolled(None, None)
         try:
-            return PlatformPolled(decode_mark(row.value), row.version)
+            return PlatformPolled(decode_head_id(row.value), row.version)
         except ValueError:
             return PollFailed()
 
@@ -160,7 +160,7 @@
 
     def submit(
         self, head: Head, version: int | None, record: EditRecord | None = None
-    ) -> Event:
+    ) -> WriteResult:
         """Try to make ``head`` the accepted one.
 
         Parameters
@@ -175,13 +175,13 @@
         record = record or EditRecord(head.edit_id)
         match self._client.write(_transaction(head, version, record)):
             case Written():
-                return TookEffect()
+                return WriteSucceeded()
             case Conflict(rows=rows):
                 return self._refused(head, rows)
             case Unknown():
                 return self._read_back(head)
             case Unavailable(reason=reason):
-                return NotDone(reason)
+                return WriteNotApplied(reason)
 
     def edit_of(self, revision: int) -> str | Unavailable:
         """Return the id of the edit that got ``revision``, or ``""``."""
@@ -216,26 +216,26 @@
         written = self._client.write(_transaction(head, version, record))
         return isinstance(written, Written)
 
-    def _read_back(self, head: Head) -> Event:
+    def _read_back(self, head: Head) -> WriteResult:
         # An absent row proves nothing: a slow write may still land. The same
         # transaction is then handed in again.
         edit_id = self.edit_of(head.revision)
         if edit_id == head.edit_id:
-            return TookEffect()
+            return WriteSucceeded()
         if isinstance(edit_id, Unavailable) or not edit_id:
-            return Lost()
+            return OutcomeUnknown()
         polled = self.poll()
-        present = polled.mark if isinstance(polled, PlatformPolled) else None
-        return Refused(present, edit_id)
+        present = polled.head_id if isinstance(polled, PlatformPolled) else None
+        return WriteConflict(present, edit_id)
 
-    def _refused(self, head: Head, rows: dict[str, Row]) -> Event:
+    def _refused(self, head: Head, rows: dict[str, Row]) -> WriteResult:
         # Only a row that is there proves whose edit got the revision. If it
         # cannot be read now, the write counts as doubtful and is tried again.
         edit_id = self.edit_of(head.revision)
         if isinstance(edit_id, Unavailable):
-            return Lost()
+            return OutcomeUnknown()
         present = _mark_in(rows)
-        return Refused(present, edit_id)
+        return WriteConflict(present, edit_id)
 
 
 def configuration_store(client: PlatformClient) -> ConfigurationStore:
@@ -245,8 +245,8 @@
 
 def _transaction(head: Head, version: int | None, record: EditRecord) -> Transaction:
     puts = (
-        Put(_MARK, encode(head.mark)),
-        Put(_HEAD, encode(head)),
+        Put(_MARK, encode_json(head.head_id)),
+        Put(_HEAD, encode_json(head)),
         Put(_edit_key(head.revision), msgspec.json.encode(record).decode()),
     )
     pruned = (_edit_key(head.revision - _EDITS_KEPT),)
@@ -257,8 +257,8 @@
     return f"{_EDIT}{revision}"
 
 
-def _mark_in(rows: dict[str, Row]) -> Mark | None:
+def _mark_in(rows: dict[str, Row]) -> HeadId | None:
     try:
-        return decode_mark(rows[_MARK].value)
+        return decode_head_id(rows[_MARK].value)
     except (KeyError, ValueError):
         return None
--- a/src/azurefold/wire/messages.py
+++ b/src/azurefold/wire/messages.py
@@ -10,14 +10,14 @@
 
 import msgspec
 
-from azurefold.core.configuration.head import Mark
-from azurefold.core.configuration.messages import MarkNews
+from azurefold.core.configuration.head import HeadId
+from azurefold.core.configuration.messages import HeadAnnouncement
 from azurefold.core.membership import messages as core
 from azurefold.core.membership.endpoints import Endpoint, Role, State
 
 __all__ = ["AnyMessage", "MalformedError", "decode_message", "encode_message"]
 
-AnyMessage = core.Message | MarkNews
+AnyMessage = core.Message | HeadAnnouncement
 
 _Hash = Annotated[int, msgspec.Meta(ge=0, le=2**32 - 1)]
 _Count = Annotated[int, msgspec.Meta(ge=0, le=2**63 - 1)]
@@ -169,8 +169,8 @@
             return _Summary(bucket, pairs)
         case core.Want(names):
             return _Want(names)
-        case MarkNews(mark, age_ms):
-            return _MarkNews(mark.revision, mark.edit_id, mark.digest, age_ms)
+        case HeadAnnouncement(head_id, age_ms):
+            return _MarkNews(head_id.revision, head_id.edit_id, head_id.digest, age_ms)
 
 
 def _from_wire(message: _AnyWire) -> AnyMessage:
@@ -196,8 +196,8 @@
         case _Want():
             return core.Want(message.names)
         case _MarkNews():
-            mark = Mark(message.revision, message.edit_id, message.digest)
-            return MarkNews(mark, message.age_ms)
+            head_id = HeadId(message.revision, message.edit_id, message.digest)
+            return HeadAnnouncement(head_id, message.age_ms)
 
 
 def _record_to_wire(record: Endpoint) -> _Record:
--- a/src/azurefold_standins/operator.py
+++ b/src/azurefold_standins/operator.py
@@ -8,9 +8,9 @@
 from geventhttpclient import HTTPClient
 
 from azurefold.border.configuration import parse_configuration
-from azurefold.core.configuration.acceptance import TookEffect
-from azurefold.core.configuration.head import Head, next_head
-from azurefold.core.configuration.sections import content_hash, split
+from azurefold.core.configuration.acceptance import WriteSucceeded
+from azurefold.core.configuration.head import Head, build_next_head
+from azurefold.core.configuration.sections import content_hash, split_configuration
 from azurefold.internal.http_client import CONNECTION_ERRORS
 from azurefold.internal.http_server import split_address
 from azurefold.site_store.client import platform_client
@@ -60,15 +60,15 @@
 def accept(site: Site, configuration: dict) -> int:
     """Have a configuration accepted, and return its revision."""
     model = parse_configuration("site.jsonc", json.dumps(configuration))
-    contents = split(model.to_raw())
+    contents = split_configuration(model.to_raw())
     store = _store(site)
     wait_until(lambda: isinstance(store.read_base(), Base), "the platform answers")
     base = store.read_base()
     if store.put_contents(list(contents.values())) is not None:
         raise RuntimeError("the platform did not take the configuration")
     hashes = {name: content_hash(data) for name, data in contents.items()}
-    head = next_head(base.head, uuid.uuid4().hex, hashes)
-    if not isinstance(store.submit(head, base.version), TookEffect):
+    head = build_next_head(base.head, uuid.uuid4().hex, hashes)
+    if not isinstance(store.submit(head, base.version), WriteSucceeded):
         raise RuntimeError("the configuration was not accepted")
     return head.revision
 
--- a/tests/border/test_configuration.py
+++ b/tests/border/test_configuration.py
@@ -9,7 +9,7 @@
     load_configuration,
     parse_configuration,
 )
-from azurefold.core.configuration.model import Kind, Priority
+from azurefold.core.configuration.model import Priority, ServiceKind
 
 DEMO = Path(__file__).parents[2] / "examples" / "demo.jsonc"
 SERVICE = '"kind": "plain", "data_centres": ["d"]'
@@ -19,13 +19,13 @@
     configuration = load_configuration(str(DEMO)).to_core()
     drafts = configuration.services["recall-drafts"]
     bookings = configuration.services["bookings"]
-    assert drafts.kind is Kind.MODEL
+    assert drafts.kind is ServiceKind.MODEL
     assert drafts.groups[0].endpoints == drafts.endpoints
     assert drafts.balance.booking_hours[0].end_minute == 360
     assert bookings.priority is Priority.CONFIRMATION
-    assert not bookings.idempotent
-    assert configuration.service_of("bookings-1") is bookings
-    assert configuration.service_of("unknown") is None
+    assert not bookings.is_idempotent
+    assert configuration.find_service("bookings-1") is bookings
+    assert configuration.find_service("unknown") is None
 
 
 def test_raw_form_gives_the_same_configuration():
--- a/tests/commands/conftest.py
+++ b/tests/commands/conftest.py
@@ -31,10 +31,10 @@
         return f"127.0.0.1:{self.server.server_port}"
 
     def _serve(self, environ, start_response):
-        mark = self.held or self.store.poll().mark
+        head_id = self.held or self.store.poll().head_id
         status = {"name": self.answers_as, "data_centre": self.data_centre}
-        status |= {"revision": mark.revision if mark else 0, "more": [1]}
-        status |= {"edit_id": mark.edit_id if mark else ""}
+        status |= {"revision": head_id.revision if head_id else 0, "more": [1]}
+        status |= {"edit_id": head_id.edit_id if head_id else ""}
         start_response("200 OK", [("Content-Type", "application/json")])
         return [json.dumps(status).encode()]
 
--- a/tests/commands/test_commands.py
+++ b/tests/commands/test_commands.py
@@ -6,7 +6,7 @@
 from azurefold.commands.drain import drain
 from azurefold.commands.reports import Exit
 from azurefold.core.clock import ManualTime, manual_clock
-from azurefold.core.configuration.head import Mark
+from azurefold.core.configuration.head import HeadId
 from azurefold.wire.orders import DrainReply
 
 
@@ -55,7 +55,7 @@
 
 
 def test_data_centre_that_does_not_follow_is_named(run, text, controls):
-    controls["c2"].held = Mark(0, "", "")
+    controls["c2"].held = HeadId(0, "", "")
     code, told = run("apply", text(), "--wait_timeout_ms", 300)
     assert code == 4
     assert "fukuoka-hall: in force after" in told
@@ -69,7 +69,7 @@
     number to another edit. Cause: a number alone proves neither.
     """
     controls["c1"].answers_as = "somebody-else"
-    controls["c2"].held = Mark(1, "another-edit", "")
+    controls["c2"].held = HeadId(1, "another-edit", "")
     code, told = run(
         "apply", text(), "--wait_timeout_ms", 300, "--over_restored", "--json"
     )
@@ -80,9 +80,9 @@
 
 def test_number_of_another_edit_is_not_this_edit(run, text, controls):
     code, told = run("apply", text(), "--nowait", "--json")
-    mark = json.loads(told)["result"]["mark"]
-    controls["c2"].held = Mark(mark["revision"] + 1, "other", "")
-    controls["c1"].held = Mark(mark["revision"], "other", "")
+    head_id = json.loads(told)["result"]["mark"]
+    controls["c2"].held = HeadId(head_id["revision"] + 1, "other", "")
+    controls["c1"].held = HeadId(head_id["revision"], "other", "")
     code, told = run("status")
     assert code == 0
     assert "fukuoka-hall/c1: revision 1, edit other" in told
@@ -97,7 +97,7 @@
     """
     run("apply", text())
     for control in controls.values():
-        control.held = Mark(5, "held", "")
+        control.held = HeadId(5, "held", "")
     code, told = run("apply", text(share=2), "--base", 1)
     assert code == 1
     assert "processes hold revision 5, the platform shows 1" in told
--- a/tests/control/conftest.py
+++ b/tests/control/conftest.py
@@ -7,7 +7,7 @@
 
 from azurefold.control.configuration import ConfigurationLoop
 from azurefold.core.clock import ManualTime, manual_clock
-from azurefold.core.configuration.follower import follower
+from azurefold.core.configuration.follower import create_follower
 
 
 @pytest.fixture
@@ -24,7 +24,7 @@
 
     def make(name="one", peers=None, sent=None):
         return ConfigurationLoop(
-            follower(name, "hall"),
+            create_follower(name, "hall"),
             OwnStore(),
             peers or FewPeers(),
             manual_clock(time),
--- a/tests/control/loops.py
+++ b/tests/control/loops.py
@@ -5,9 +5,9 @@
 import msgspec
 
 from azurefold.control.configuration import ConfigurationLoop
-from azurefold.core.configuration.head import NO_HEAD, Head, next_head
-from azurefold.core.configuration.messages import MarkHeard, PlatformPolled
-from azurefold.core.configuration.sections import content_hash, split
+from azurefold.core.configuration.head import NO_HEAD, Head, build_next_head
+from azurefold.core.configuration.messages import AnnouncementReceived, PlatformPolled
+from azurefold.core.configuration.sections import content_hash, split_configuration
 from azurefold.site_store.configuration_store import Base
 from azurefold.wire.orders import METHOD_GET_HEAD
 
@@ -59,17 +59,21 @@
 
 
 def head_of(raw, base: Head = NO_HEAD, edit_id: str = "") -> Head:
-    hashes = {name: content_hash(data) for name, data in split(raw).items()}
-    return next_head(base, edit_id or f"e{base.revision + 1}", hashes)
+    hashes = {
+        name: content_hash(data) for name, data in split_configuration(raw).items()
+    }
+    return build_next_head(base, edit_id or f"e{base.revision + 1}", hashes)
 
 
 def hold(loop, head, raw):
     """Let a loop hold a head, as the platform gives it."""
     loop.store.head = head
-    loop.store.contents = {content_hash(each): each for each in split(raw).values()}
-    loop._handle(PlatformPolled(head.mark, 1))
+    loop.store.contents = {
+        content_hash(each): each for each in split_configuration(raw).values()
+    }
+    loop._handle(PlatformPolled(head.head_id, 1))
     assert loop.follower.head == head
 
 
-def hear(loop, mark, peer):
-    loop._handle(MarkHeard(mark, peer, 0))
+def hear(loop, head_id, peer):
+    loop._handle(AnnouncementReceived(head_id, peer, 0))
--- a/tests/control/test_configuration_exchange.py
+++ b/tests/control/test_configuration_exchange.py
@@ -27,7 +27,7 @@
     hold(loop, OLD_HEAD, FIRST)
     hold(other, OLD_HEAD, FIRST)
     hold(other, NEW_HEAD, SECOND)
-    hear(loop, NEW_HEAD.mark, Peer("other"))
+    hear(loop, NEW_HEAD.head_id, Peer("other"))
     assert loop.follower.head == NEW_HEAD
     head, sections = caller.replies
     assert len(sections.contents) == 1
@@ -38,7 +38,7 @@
 def test_a_process_that_holds_nothing_gets_all(make_loop):
     loop, _, other = linked(make_loop)
     hold(other, NEW_HEAD, SECOND)
-    hear(loop, NEW_HEAD.mark, Peer("other"))
+    hear(loop, NEW_HEAD.head_id, Peer("other"))
     assert loop.follower.head == NEW_HEAD
     assert json.loads(loop.raw) == json.loads(other.raw)
 
@@ -57,7 +57,7 @@
     hold(loop, head_of(lost, edit_id="lost"), lost)
     hold(other, OLD_HEAD, FIRST)
     hold(other, NEW_HEAD, SECOND)
-    hear(loop, NEW_HEAD.mark, Peer("other"))
+    hear(loop, NEW_HEAD.head_id, Peer("other"))
     assert loop.follower.head == NEW_HEAD
     assert json.loads(loop.raw) == json.loads(other.raw)
     assert [type(each) for each in caller.replies][:2] == [HeadReply, HeadReply]
@@ -84,7 +84,7 @@
         return reply
 
     monkeypatch.setattr(ConfigurationLoop, "give_sections", damaged)
-    hear(loop, OLD_HEAD.mark, Peer("other"))
+    hear(loop, OLD_HEAD.head_id, Peer("other"))
     assert loop.revision == 0
     monkeypatch.undo()
     assert zlib.decompress(
@@ -99,10 +99,10 @@
     hold(loop, OLD_HEAD, FIRST)
     at_news = len(sent)
     for _ in range(20):
-        loop._announce(Announce(OLD_HEAD.mark, 0))
+        loop._announce(Announce(OLD_HEAD.head_id, 0))
     assert len(sent) == at_news
     time.advance(1_000)
-    loop._announce(Announce(OLD_HEAD.mark, 0))
+    loop._announce(Announce(OLD_HEAD.head_id, 0))
     assert 0 < len(sent) - at_news < at_news
     before = len(sent)
     hold(loop, NEW_HEAD, SECOND)
--- a/tests/control/test_configured_services.py
+++ b/tests/control/test_configured_services.py
@@ -9,7 +9,7 @@
 from azurefold.border.configuration import configuration_from_raw
 from azurefold.control.far import FarEndpoints
 from azurefold.control.services import configured_services
-from azurefold.core.configuration.sections import split
+from azurefold.core.configuration.sections import split_configuration
 
 SERVICE = {"kind": "plain", "data_centres": ["hall"], "endpoints": ["e1"]}
 RAW = {
@@ -34,11 +34,11 @@
 
 def test_services_are_those_of_the_whole_configuration():
     whole = configuration_from_raw(RAW)
-    assert configured_services(split(RAW)) == dict(whole.services)
+    assert configured_services(split_configuration(RAW)) == dict(whole.services)
 
 
 def test_organisations_are_not_looked_at():
-    sections = split(RAW)
+    sections = split_configuration(RAW)
     chunks = [name for name in sections if name.startswith("organisations/")]
     assert chunks
     unread = sections | dict.fromkeys(chunks, b"no JSON")
@@ -48,7 +48,7 @@
 def test_services_that_cannot_be_used_are_refused():
     newer = {"services": {"bookings": SERVICE | {"of_tomorrow": 1}}}
     with pytest.raises(ValueError, match="of_tomorrow"):
-        configured_services(split(newer | {"organisations": {}}))
+        configured_services(split_configuration(newer | {"organisations": {}}))
 
 
 def test_far_endpoints_outlive_a_revision_of_a_newer_version(make_loop):
--- a/tests/core/configuration/test_first_fetch.py
+++ b/tests/core/configuration/test_first_fetch.py
@@ -8,11 +8,11 @@
 
 import pytest
 
-from azurefold.core.configuration.follower import follower
-from azurefold.core.configuration.head import NO_HEAD, next_head
+from azurefold.core.configuration.follower import create_follower
+from azurefold.core.configuration.head import NO_HEAD, build_next_head
 from azurefold.core.configuration.messages import (
+    AnnouncementReceived,
     FetchHead,
-    MarkHeard,
     Peer,
     Platform,
     PlatformPolled,
@@ -21,14 +21,14 @@
 from azurefold.core.configuration.schedule import FollowerPolicy
 
 HALL = "fukuoka-hall"
-HEAD = next_head(NO_HEAD, "e1", {"service/a": "some-hash"})
-SEEN = PlatformPolled(HEAD.mark, 1)
+HEAD = build_next_head(NO_HEAD, "e1", {"service/a": "some-hash"})
+SEEN = PlatformPolled(HEAD.head_id, 1)
 WITHIN_MS = 400
 LONGEST_MS = 7_000
 
 
 def started(n_peers, jitter, policy=None):
-    each = follower("c0", HALL, policy)
+    each = create_follower("c0", HALL, policy)
     each.handle(Tick(frozenset(["c0"]), jitter, n_peers), 0)
     return each
 
@@ -71,7 +71,7 @@
 def test_a_peer_that_holds_the_head_is_asked_meanwhile():
     each = started(389, 0.5)
     assert not any(isinstance(one, FetchHead) for one in each.handle(SEEN, 0))
-    (ask,) = each.handle(MarkHeard(HEAD.mark, Peer("c9"), None), 300)
+    (ask,) = each.handle(AnnouncementReceived(HEAD.head_id, Peer("c9"), None), 300)
     assert isinstance(ask, FetchHead)
     assert ask.source == Peer("c9")
 
--- a/tests/core/configuration/test_follower.py
+++ b/tests/core/configuration/test_follower.py
@@ -2,16 +2,16 @@
 
 import pytest
 
-from azurefold.core.configuration.follower import follower
-from azurefold.core.configuration.head import NO_HEAD, next_head
+from azurefold.core.configuration.follower import create_follower
+from azurefold.core.configuration.head import NO_HEAD, build_next_head
 from azurefold.core.configuration.messages import (
     Announce,
+    AnnouncementReceived,
     Apply,
     FetchFailed,
     FetchHead,
     FetchSections,
     HeadFetched,
-    MarkHeard,
     Peer,
     Platform,
     PlatformPolled,
@@ -29,12 +29,12 @@
 POLLERS = choose_pollers(LIVE, HALL)
 OTHERS = sorted(LIVE - set(POLLERS))
 CONTENT = b"{}"
-FIRST = next_head(NO_HEAD, "e1", {"service/a": content_hash(CONTENT)})
+FIRST = build_next_head(NO_HEAD, "e1", {"service/a": content_hash(CONTENT)})
 TICK = Tick(LIVE, 0.0)
 
 
 def polls(name, until, news=lambda each, now: None):
-    each = follower(name, HALL)
+    each = create_follower(name, HALL)
     looked = []
     for now in range(0, until, 100):
         if PollNow() in each.handle(TICK, now):
@@ -51,7 +51,7 @@
 def test_others_look_only_without_news_for_two_seconds():
     def hear(each, now):
         if now < 4_000:
-            each.handle(MarkHeard(NO_HEAD.mark, Peer("c9"), 100), now)
+            each.handle(AnnouncementReceived(NO_HEAD.head_id, Peer("c9"), 100), now)
 
     assert polls(OTHERS[0], 9_000)[:3] == [0, 2_000, 4_000]
     assert polls(OTHERS[0], 7_000, hear) == [0, 5_800]
@@ -59,7 +59,7 @@
 
 def test_news_of_old_age_is_not_fresh():
     def hear(each, now):
-        each.handle(MarkHeard(NO_HEAD.mark, Peer("c9"), now + 1), now)
+        each.handle(AnnouncementReceived(NO_HEAD.head_id, Peer("c9"), now + 1), now)
 
     assert len(polls(OTHERS[0], 9_000, hear)) > 3
 
@@ -71,35 +71,35 @@
     announcing the old head as fresh; the others hear that and stop looking.
     Cause: freshness says "nothing newer than this", which is not so.
     """
-    each = follower(POLLERS[0], HALL)
-    each.handle(PlatformPolled(NO_HEAD.mark, None), 0)
-    actions = each.handle(PlatformPolled(FIRST.mark, 1), 5_000)
-    assert Announce(NO_HEAD.mark, 5_000) in actions
-    each.handle(MarkHeard(FIRST.mark, Peer("c9"), 0), 6_000)
+    each = create_follower(POLLERS[0], HALL)
+    each.handle(PlatformPolled(NO_HEAD.head_id, None), 0)
+    actions = each.handle(PlatformPolled(FIRST.head_id, 1), 5_000)
+    assert Announce(NO_HEAD.head_id, 5_000) in actions
+    each.handle(AnnouncementReceived(FIRST.head_id, Peer("c9"), 0), 6_000)
     assert each.age_ms(6_000) == 6_000
 
 
 def test_fresh_process_in_an_outage_takes_what_a_peer_holds():
-    each = follower(OTHERS[0], HALL)
+    each = create_follower(OTHERS[0], HALL)
     each.handle(PollFailed(), 0)
     peer = Peer("c9")
-    (ask,) = each.handle(MarkHeard(FIRST.mark, peer, None), 10)
+    (ask,) = each.handle(AnnouncementReceived(FIRST.head_id, peer, None), 10)
     assert isinstance(ask, FetchHead)
     assert ask.source == peer
     (ask,) = each.handle(HeadFetched(FIRST, peer), 20)
     assert ask == FetchSections(peer, (content_hash(CONTENT),))
     actions = each.handle(SectionsFetched({content_hash(CONTENT): CONTENT}, peer), 30)
     assert actions[0] == Apply(FIRST, {"service/a": CONTENT})
-    assert each.contents_of([content_hash(CONTENT), "?"]) == {
+    assert each.get_contents([content_hash(CONTENT), "?"]) == {
         content_hash(CONTENT): CONTENT
     }
 
 
 @pytest.mark.parametrize("silent", [True, False])
 def test_another_source_is_asked_when_one_fails_or_is_silent(silent):
-    each = follower(OTHERS[0], HALL)
-    each.handle(MarkHeard(FIRST.mark, Peer("c8"), None), 0)
-    each.handle(PlatformPolled(FIRST.mark, 1), 0)
+    each = create_follower(OTHERS[0], HALL)
+    each.handle(AnnouncementReceived(FIRST.head_id, Peer("c8"), None), 0)
+    each.handle(PlatformPolled(FIRST.head_id, 1), 0)
     if silent:
         actions = each.handle(TICK, FollowerPolicy().fetch_timeout_ms)
     else:
@@ -114,15 +114,15 @@
     the contents come and are thrown away, and so on for ever.
     Cause: contents are named by their hash, so they are good whenever they come.
     """
-    each = follower(OTHERS[0], HALL)
+    each = create_follower(OTHERS[0], HALL)
     hashed = content_hash(CONTENT)
-    each.handle(PlatformPolled(FIRST.mark, 1), 0)
+    each.handle(PlatformPolled(FIRST.head_id, 1), 0)
     each.handle(HeadFetched(FIRST, Platform()), 10)
-    each.handle(MarkHeard(FIRST.mark, Peer("c8"), None), 20)
+    each.handle(AnnouncementReceived(FIRST.head_id, Peer("c8"), None), 20)
     (ask,) = [a for a in each.handle(TICK, 600) if isinstance(a, FetchSections)]
     assert ask.source == Peer("c8")
     each.handle(FetchFailed(Peer("c8")), 700)
-    each.handle(MarkHeard(FIRST.mark, Peer("c7"), None), 800)
+    each.handle(AnnouncementReceived(FIRST.head_id, Peer("c7"), None), 800)
     each.handle(SectionsFetched({hashed: CONTENT}, Platform()), 900)
     actions = each.handle(HeadFetched(FIRST, Peer("c7")), 1_000)
     assert isinstance(actions[0], Apply)
@@ -137,7 +137,7 @@
     due = []
     for jitter in (0.0, 0.25, 0.5, 0.75):
         schedule = PollSchedule(OTHERS[0], HALL, FollowerPolicy())
-        schedule.heard_fresh(0)
+        schedule.record_confirmation(0)
         tick = Tick(LIVE, jitter)
         due.append(next(at for at in range(0, 9_000, 100) if schedule.is_due(tick, at)))
     assert due == [2_000, 2_500, 3_000, 3_500]
--- a/tests/core/configuration/test_following_stateful.py
+++ b/tests/core/configuration/test_following_stateful.py
@@ -13,7 +13,11 @@
 from tests.core.configuration.world import World
 
 from azurefold.core.configuration import follower as follower_module
-from azurefold.core.configuration.acceptance import Acceptance, Lost, NotAccepted
+from azurefold.core.configuration.acceptance import (
+    Acceptance,
+    NotAccepted,
+    OutcomeUnknown,
+)
 from azurefold.core.configuration.follower import Follower, FollowerPolicy
 from azurefold.core.configuration.messages import Platform, WriteBack
 
@@ -34,10 +38,10 @@
 class GoesBack(Follower):
     """Follows the platform to a lower revision as well."""
 
-    def _on_lower(self, mark, row_version):
+    def _on_lower(self, head_id, row_version):
         self._head = follower_module.NO_HEAD
-        self._mark = self._head.mark
-        return self._offered(Platform(), mark, 0) if mark.revision else []
+        self._mark = self._head.head_id
+        return self._offered(Platform(), head_id, 0) if head_id.revision else []
 
 
 class KeepsQuiet(Follower):
@@ -57,8 +61,8 @@
 class LeavesTheOldCopy(Follower):
     """Does not write the held head back over an older copy."""
 
-    def _on_lower(self, mark, row_version):
-        actions = super()._on_lower(mark, row_version)
+    def _on_lower(self, head_id, row_version):
+        actions = super()._on_lower(head_id, row_version)
         return [each for each in actions if not isinstance(each, WriteBack)]
 
 
@@ -66,7 +70,7 @@
     """Tells an operator that an edit was not accepted when the answer is lost."""
 
     def handle(self, event, now):
-        if isinstance(event, Lost):
+        if isinstance(event, OutcomeUnknown):
             return NotAccepted("no answer")
         return super().handle(event, now)
 
@@ -74,8 +78,8 @@
 class TakesItselfForARival(Acceptance):
     """Believes each conflict, also one with its own row."""
 
-    def _after_conflict(self, refused):
-        return NotAccepted("a rival won", refused.present)
+    def _after_conflict(self, conflict):
+        return NotAccepted("a rival won", conflict.current)
 
 
 def _machine(**parts):
--- a/tests/core/configuration/test_sections_and_heads.py
+++ b/tests/core/configuration/test_sections_and_heads.py
@@ -6,21 +6,25 @@
 from hypothesis import strategies as st
 
 from azurefold.core.configuration.head import (
-    LONGEST_CHAIN,
+    MAX_CHAIN_LENGTH,
     NO_HEAD,
     Head,
-    Mark,
-    Relation,
+    HeadId,
+    HeadRelation,
     apply_delta,
+    build_next_head,
+    classify_relation,
+    compute_delta,
     decode_head,
-    decode_mark,
-    delta_between,
-    encode,
-    next_head,
-    relation,
+    decode_head_id,
+    encode_json,
 )
 from azurefold.core.configuration.pollers import choose_pollers
-from azurefold.core.configuration.sections import assemble, content_hash, split
+from azurefold.core.configuration.sections import (
+    assemble_configuration,
+    content_hash,
+    split_configuration,
+)
 
 NAMES = st.text(string.ascii_lowercase, min_size=1, max_size=4)
 VALUES = st.dictionaries(st.text(max_size=3), st.integers() | st.text(max_size=3))
@@ -35,15 +39,15 @@
 
 @given(RAW)
 def test_splitting_loses_nothing(raw):
-    assert assemble(split(raw)) == raw
+    assert assemble_configuration(split_configuration(raw)) == raw
 
 
 def test_one_changed_organisation_changes_one_small_section():
     raw = {"services": {}, "organisations": {}}
     raw["organisations"] = {f"organisation-{i}": {"share": 1} for i in range(8_200)}
-    before = split(raw)
+    before = split_configuration(raw)
     raw["organisations"]["organisation-77"] = {"share": 2}
-    after = split(raw)
+    after = split_configuration(raw)
     changed = [name for name in after if after[name] != before[name]]
     assert len(changed) == 1
     assert len(after[changed[0]]) < 4_096
@@ -51,29 +55,36 @@
 
 @given(SECTIONS, SECTIONS)
 def test_a_delta_gives_the_head_it_was_made_from(old, new):
-    base = next_head(NO_HEAD, "e1", old)
-    head = next_head(base, "e2", new)
-    assert apply_delta(base, delta_between(base, head)) == head
+    base = build_next_head(NO_HEAD, "e1", old)
+    head = build_next_head(base, "e2", new)
+    assert apply_delta(base, compute_delta(base, head)) == head
 
 
 @given(SECTIONS)
 def test_heads_and_marks_survive_their_spelling(sections):
-    head = next_head(Head(3, "e3", {}, ("e2",)), "e4", sections)
-    assert decode_head(encode(head)) == head
-    assert decode_mark(encode(head.mark)) == head.mark
+    head = build_next_head(Head(3, "e3", {}, ("e2",)), "e4", sections)
+    assert decode_head(encode_json(head)) == head
+    assert decode_head_id(encode_json(head.head_id)) == head.head_id
 
 
 def test_relations_along_a_line_and_across():
     head = NO_HEAD
-    for number in range(1, LONGEST_CHAIN + 5):
-        head = next_head(head, f"e{number}", {"service/a": content_hash(b"a")})
-    assert relation(head, head.mark) is Relation.SAME
-    assert relation(head, Mark(head.revision + 1, "x", "")) is Relation.NEWER
-    assert relation(head, Mark(head.revision, "x", "")) is Relation.FORKED
-    assert relation(head, Mark(10, "e10", "")) is Relation.ANCESTOR
-    assert relation(head, Mark(10, "x", "")) is Relation.FORKED
-    assert relation(head, Mark(1, "e1", "")) is Relation.FORKED, "beyond the chain"
-    assert relation(head, NO_HEAD.mark) is Relation.ANCESTOR
+    for number in range(1, MAX_CHAIN_LENGTH + 5):
+        head = build_next_head(head, f"e{number}", {"service/a": content_hash(b"a")})
+    assert classify_relation(head, head.head_id) is HeadRelation.SAME
+    assert (
+        classify_relation(head, HeadId(head.revision + 1, "x", ""))
+        is HeadRelation.NEWER
+    )
+    assert (
+        classify_relation(head, HeadId(head.revision, "x", "")) is HeadRelation.FORKED
+    )
+    assert classify_relation(head, HeadId(10, "e10", "")) is HeadRelation.ANCESTOR
+    assert classify_relation(head, HeadId(10, "x", "")) is HeadRelation.FORKED
+    assert classify_relation(head, HeadId(1, "e1", "")) is HeadRelation.FORKED, (
+        "beyond the chain"
+    )
+    assert classify_relation(head, NO_HEAD.head_id) is HeadRelation.ANCESTOR
 
 
 @given(st.sets(NAMES, min_size=3), st.data())
--- a/tests/core/configuration/world.py
+++ b/tests/core/configuration/world.py
@@ -5,22 +5,22 @@
 from azurefold.core.configuration.acceptance import (
     Acceptance,
     Accepted,
-    Lost,
     NotAccepted,
-    NotDone,
-    Refused,
+    OutcomeUnknown,
     Submit,
-    TookEffect,
+    WriteConflict,
+    WriteNotApplied,
+    WriteSucceeded,
 )
-from azurefold.core.configuration.follower import follower
-from azurefold.core.configuration.head import NO_HEAD, Head, next_head
+from azurefold.core.configuration.follower import create_follower
+from azurefold.core.configuration.head import NO_HEAD, Head, build_next_head
 from azurefold.core.configuration.messages import (
+    AnnouncementReceived,
     Apply,
     FetchFailed,
     FetchHead,
     FetchSections,
     HeadFetched,
-    MarkHeard,
     Peer,
     Platform,
     PlatformPolled,
@@ -68,7 +68,7 @@
 
 
 class World:
-    def __init__(self, make_follower=follower, make_acceptance=Acceptance):
+    def __init__(self, make_follower=create_follower, make_acceptance=Acceptance):
         self.make_follower = make_follower
         self.make_acceptance = make_acceptance
         self.now = 0
@@ -90,7 +90,7 @@
         number = len(self.operators) + 1
         content = f"content-{number}".encode()
         sections = {**self.table.head.sections, "service/a": content_hash(content)}
-        head = next_head(self.table.head, f"edit-{number}", sections)
+        head = build_next_head(self.table.head, f"edit-{number}", sections)
         self.drafted[head.edit_id] = content
         acceptance = self.make_acceptance(head, self.now + 2_000)
         self.operators.append(Operator(acceptance, head, self.table.version))
@@ -98,7 +98,7 @@
 
     def submit(self, operator, fault):
         event = self._answer(operator, fault)
-        operator.in_doubt |= isinstance(event, Lost)
+        operator.in_doubt |= isinstance(event, OutcomeUnknown)
         self.now += 200
         result = operator.acceptance.handle(event, self.now)
         if not isinstance(result, Submit):
@@ -106,21 +106,21 @@
 
     def _answer(self, operator, fault):
         if fault == "unavailable":
-            return NotDone("down")
+            return WriteNotApplied("down")
         # Contents are stored before each try: a store restored since the last
         # one has lost them, and an accepted head would name what nobody has.
         content = self.drafted[operator.head.edit_id]
         self.table.objects[content_hash(content)] = content
         if fault == "late":
             self.late_writes.append((operator.head, operator.version))
-            return Lost()
+            return OutcomeUnknown()
         took_effect = self.write(operator.head, operator.version)
         if fault == "lost":
-            return Lost()
+            return OutcomeUnknown()
         if took_effect:
-            return TookEffect()
+            return WriteSucceeded()
         holder = self.table.edits.get(operator.head.revision, "")
-        return Refused(self.table.head.mark, holder)
+        return WriteConflict(self.table.head.head_id, holder)
 
     def write(self, head, version):
         if not self.table.write(head, version):
@@ -146,9 +146,9 @@
     def gossip(self, sender, hearer):
         if not self.can_talk(sender, hearer):
             return
-        mark = self.followers[sender].head.mark
+        head_id = self.followers[sender].head.head_id
         age = self.followers[sender].age_ms(self.now)
-        self._feed(hearer, MarkHeard(mark, Peer(sender), age))
+        self._feed(hearer, AnnouncementReceived(head_id, Peer(sender), age))
 
     def can_talk(self, one, other):
         return self.linked or NODES[one] == NODES[other]
@@ -166,10 +166,10 @@
             case WriteBack() if platform:
                 for data in action.sections.values():
                     self.table.objects[content_hash(data)] = data
-                self.table.write(action.head, action.over_version)
+                self.table.write(action.head, action.expected_version)
             case PollNow() if platform:
-                mark = self.table.head.mark if self.table.version else None
-                yield PlatformPolled(mark, self.table.version)
+                head_id = self.table.head.head_id if self.table.version else None
+                yield PlatformPolled(head_id, self.table.version)
             case PollNow():
                 yield PollFailed()
             case FetchHead(source=source):
@@ -191,7 +191,7 @@
             if self.sees_platform[NODES[name]]:
                 held = self.table.objects
         elif self.can_talk(name, action.source.name):
-            held = self.followers[action.source.name].contents_of(action.hashes)
+            held = self.followers[action.source.name].get_contents(action.hashes)
         contents = {each: held[each] for each in action.hashes if each in held}
         if self.corrupt_next and contents:
             self.corrupt_next = False
--- a/tests/entry/test_watching_the_control.py
+++ b/tests/entry/test_watching_the_control.py
@@ -8,8 +8,8 @@
 
 from azurefold.control.watch import EntryWatch
 from azurefold.core.clock import ManualTime, manual_clock
-from azurefold.core.configuration.head import NO_HEAD, Head, next_head
-from azurefold.core.configuration.sections import content_hash, split
+from azurefold.core.configuration.head import NO_HEAD, Head, build_next_head
+from azurefold.core.configuration.sections import content_hash, split_configuration
 from azurefold.entry.organisations import new_organisations
 from azurefold.entry.services import EndpointView, new_services
 from azurefold.entry.watcher import HeldSections, Watcher
@@ -54,9 +54,9 @@
 
 
 def accept(follower, raw, edit_id):
-    sections = split(raw)
+    sections = split_configuration(raw)
     hashes = {name: content_hash(data) for name, data in sections.items()}
-    follower.head = next_head(follower.head, edit_id, hashes)
+    follower.head = build_next_head(follower.head, edit_id, hashes)
     follower.sections = sections
     follower.past.append(follower.head)
 
@@ -225,7 +225,10 @@
 def test_removed_sections_must_be_dropped():
     """The check of the test above fails where removals are ignored."""
     held = HeldSections()
-    first, second = split(text([("a", 1)])), split(text([("b", 1)]))
+    first, second = (
+        split_configuration(text([("a", 1)])),
+        split_configuration(text([("b", 1)])),
+    )
     held.take(SnapshotUpdate(1, "e1", sections=first, is_whole=True))
     held.check()
     held.take(SnapshotUpdate(2, "e2", sections=second))
--- a/tests/site_store/test_configuration_store.py
+++ b/tests/site_store/test_configuration_store.py
@@ -7,14 +7,14 @@
 
 from azurefold.core.configuration.acceptance import (
     Acceptance,
+    AcceptanceUnknown,
     Accepted,
     NotAccepted,
-    Refused,
-    StillUnknown,
     Submit,
-    TookEffect,
+    WriteConflict,
+    WriteSucceeded,
 )
-from azurefold.core.configuration.head import NO_HEAD, next_head
+from azurefold.core.configuration.head import NO_HEAD, build_next_head
 from azurefold.core.configuration.messages import PollFailed
 from azurefold.core.configuration.sections import content_hash
 from azurefold.site_store.client import platform_client
@@ -23,8 +23,8 @@
 CONTENT = b'{"kind":"plain"}'
 SECTIONS = {"service/a": content_hash(CONTENT)}
 CHANGED = "the base has changed meanwhile"
-MINE = next_head(NO_HEAD, "mine", SECTIONS)
-RIVAL = next_head(NO_HEAD, "rival", SECTIONS)
+MINE = build_next_head(NO_HEAD, "mine", SECTIONS)
+RIVAL = build_next_head(NO_HEAD, "rival", SECTIONS)
 
 
 @pytest.fixture
@@ -43,24 +43,24 @@
 
 
 def test_accepted_head_can_be_read_with_its_contents(store):
-    assert store.poll().mark is None
+    assert store.poll().head_id is None
     store.put_contents([CONTENT])
-    assert store.submit(MINE, None) == TookEffect()
+    assert store.submit(MINE, None) == WriteSucceeded()
     base = store.read_base()
     assert base.head == MINE
-    assert store.poll().mark == MINE.mark
+    assert store.poll().head_id == MINE.head_id
     assert store.poll().row_version == base.version
     assert store.read_sections(MINE) == {"service/a": CONTENT}
 
 
 def test_rival_is_named(store):
     store.submit(RIVAL, None)
-    assert store.submit(MINE, None) == Refused(RIVAL.mark, "rival")
+    assert store.submit(MINE, None) == WriteConflict(RIVAL.head_id, "rival")
 
 
 def test_lost_answer_of_an_edit_that_took_effect_is_accepted(store, order):
     order("PUT", "/faults", b'{"mode": "lose_answers", "count": 1}')
-    assert accept(store, MINE, None) == Accepted(MINE.mark)
+    assert accept(store, MINE, None) == Accepted(MINE.head_id)
 
 
 def test_lost_answer_and_then_another_edit_upon_it_is_still_accepted(store, order):
@@ -71,20 +71,20 @@
     """
     order("PUT", "/faults", b'{"mode": "lose_answers", "count": 1}')
     store.submit(MINE, None)
-    store.submit(next_head(MINE, "later", SECTIONS), store.read_base().version)
-    assert accept(store, MINE, None) == Accepted(MINE.mark)
+    store.submit(build_next_head(MINE, "later", SECTIONS), store.read_base().version)
+    assert accept(store, MINE, None) == Accepted(MINE.head_id)
 
 
 def test_lost_answers_without_end_are_read_back(store, order):
     order("PUT", "/faults", b'{"mode": "lose_answers"}')
-    assert accept(store, MINE, None) == Accepted(MINE.mark)
-    assert accept(store, RIVAL, None) == NotAccepted(CHANGED, MINE.mark)
+    assert accept(store, MINE, None) == Accepted(MINE.head_id)
+    assert accept(store, RIVAL, None) == NotAccepted(CHANGED, MINE.head_id)
 
 
 def test_lost_answer_of_an_edit_that_came_too_late_is_not_accepted(store, order):
     store.submit(RIVAL, None)
     order("PUT", "/faults", b'{"mode": "lose_answers"}')
-    assert accept(store, MINE, None) == NotAccepted(CHANGED, RIVAL.mark)
+    assert accept(store, MINE, None) == NotAccepted(CHANGED, RIVAL.head_id)
 
 
 def test_slow_platform_leaves_an_edit_unknown_until_it_lands(address, store, order):
@@ -95,7 +95,7 @@
     """
     hasty = configuration_store(platform_client(address, 20))
     order("PUT", "/faults", b'{"mode": "slow", "latency_ms": 200}')
-    assert accept(hasty, MINE, None, tries=3) == StillUnknown(MINE.mark)
+    assert accept(hasty, MINE, None, tries=3) == AcceptanceUnknown(MINE.head_id)
     order("PUT", "/faults", b'{"mode": "ok"}')
     with gevent.Timeout(5):
         while store.edit_of(MINE.revision) != "mine":
@@ -111,11 +111,11 @@
 def test_written_back_over_a_restored_copy(store, order):
     store.submit(MINE, None)
     order("POST", "/snapshot")
-    later = next_head(MINE, "later", SECTIONS)
+    later = build_next_head(MINE, "later", SECTIONS)
     store.submit(later, store.read_base().version)
     order("POST", "/restore")
     seen = store.poll()
-    assert seen.mark == MINE.mark
+    assert seen.head_id == MINE.head_id
     assert store.write_back(later, {"service/a": CONTENT}, seen.row_version)
     assert store.read_base().head == later
     assert store.edit_of(later.revision) == "later"
