--- a/bench/balance_policies.py
+++ b/bench/balance_policies.py
@@ -6,11 +6,11 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, replace
 
+from azurefold.core.balance.move_search import propose_rebalance
 from azurefold.core.balance.packing import pack_experts
 from azurefold.core.balance.placement import Assignment, Placement, assign_evenly
 from azurefold.core.balance.policy import BalancePolicy, MoveWindow
 from azurefold.core.balance.proposal import LayerView
-from azurefold.core.balance.search import propose_rebalance
 from azurefold.core.balance.shares import (
     balance_replica_loads,
     build_assignment,
--- a/src/azurefold/control/groups_balance.py
+++ b/src/azurefold/control/groups_balance.py
@@ -7,10 +7,10 @@
 
 from azurefold.control.groups_lead import GroupLead
 from azurefold.core.balance.explain import explain_proposal
+from azurefold.core.balance.move_search import propose_rebalance
 from azurefold.core.balance.placement import validate_assignment
 from azurefold.core.balance.policy import DAY_MS, BalancePolicy, MoveWindow
 from azurefold.core.balance.proposal import Proposal
-from azurefold.core.balance.search import propose_rebalance
 from azurefold.core.clock import Clock, Millis
 from azurefold.core.configuration.model import Balance
 from azurefold.core.groups.popularity import GroupPopularity, new_group_popularity
--- a/src/azurefold/core/balance/greedy_search.py
+++ b/src/azurefold/core/balance/greedy_search.py
@@ -118,7 +118,7 @@
         self._apply(best)
         return True
 
-    def placement(self) -> Placement:
+    def build_placement(self) -> Placement:
         """Return the current placement."""
         ranks = tuple(tuple(sorted(experts)) for experts in self.experts_by_rank)
         return Placement(len(self.rates), self.slots_per_rank, ranks)
--- a/src/azurefold/core/balance/plan.py
+++ b/src/azurefold/core/balance/plan.py
@@ -215,7 +215,7 @@
         gain = policy.excess_cost * (self.skew_before - search.skew)
         cost = policy.move_weight * search.weight_loads - gain
         if cost < self.lowest_cost:
-            self.best_placement, self.skew_after = search.placement(), search.skew
+            self.best_placement, self.skew_after = search.build_placement(), search.skew
             self.weight_loads_by_rank, self.lowest_cost = (
                 search.weight_loads_by_rank,
                 cost,
--- a/src/azurefold/core/groups/coordinator.py
+++ b/src/azurefold/core/groups/coordinator.py
@@ -13,8 +13,12 @@
 from azurefold.core.clock import Millis
 from azurefold.core.groups.actions import Action, GroupTiming, SendToRank
 from azurefold.core.groups.engine import EngineState
-from azurefold.core.groups.health import is_healthy, recovery_map
-from azurefold.core.groups.lead_time import LeadTimePolicy, StepTimeEstimate, lead_steps
+from azurefold.core.groups.health import choose_recovery_map, is_healthy
+from azurefold.core.groups.lead_time import (
+    LeadTimePolicy,
+    StepTimeEstimate,
+    compute_lead_steps,
+)
 from azurefold.core.groups.messages import (
     Close,
     CloseAgreed,
@@ -233,7 +237,7 @@
         next_step = max(state.next_step for state in states)
         self._step_time_estimate = self._step_time_estimate.with_report(next_step, now)
         if not is_healthy(states):
-            map_id = recovery_map(states, self._fallback_map)
+            map_id = choose_recovery_map(states, self._fallback_map)
             return self._enter_phase(Staging(map_id, recovery=True), now)
         self._active_map = states[0].tail.map_id
         if self._target_map is None:
@@ -252,7 +256,7 @@
         # Measured from the first message. A retry may cross the reply to the message
         # before it, which would make the round trip and the lead look too short.
         round_trip = now - self._phase_entered_at
-        lead = lead_steps(self._lead_policy, round_trip, step_time)
+        lead = compute_lead_steps(self._lead_policy, round_trip, step_time)
         step = max(state.next_step for state in states) + lead
         first_unplanned_step = max(state.tail.from_step for state in states) + 1
         return max(step, first_unplanned_step)
--- a/src/azurefold/core/groups/health.py
+++ b/src/azurefold/core/groups/health.py
@@ -2,7 +2,7 @@
 
 from azurefold.core.groups.engine import EngineState, schedule_from
 
-__all__ = ["is_healthy", "recovery_map"]
+__all__ = ["is_healthy", "choose_recovery_map"]
 
 
 def is_healthy(states: list[EngineState]) -> bool:
@@ -13,7 +13,7 @@
     return len({schedule_from(state, step) for state in states}) == 1
 
 
-def recovery_map(states: list[EngineState], fallback_map: str) -> str:
+def choose_recovery_map(states: list[EngineState], fallback_map: str) -> str:
     """Return the map of the latest decided change, else ``fallback_map``."""
     tails = [state.tail for state in states if state.tail is not None]
     if not tails:
--- a/src/azurefold/core/groups/lead_time.py
+++ b/src/azurefold/core/groups/lead_time.py
@@ -10,7 +10,7 @@
 
 from azurefold.core.clock import Millis
 
-__all__ = ["LeadTimePolicy", "StepTimeEstimate", "lead_steps"]
+__all__ = ["LeadTimePolicy", "StepTimeEstimate", "compute_lead_steps"]
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,7 +37,9 @@
     max_steps: int = 400
 
 
-def lead_steps(policy: LeadTimePolicy, round_trip: Millis, step_time: float) -> int:
+def compute_lead_steps(
+    policy: LeadTimePolicy, round_trip: Millis, step_time: float
+) -> int:
     """Return the number of steps between the last reported step and the change.
 
     Parameters
@@ -51,9 +53,9 @@
 
     Examples
     --------
-    >>> lead_steps(LeadTimePolicy(), round_trip=3, step_time=5.0)
+    >>> compute_lead_steps(LeadTimePolicy(), round_trip=3, step_time=5.0)
     4
-    >>> lead_steps(LeadTimePolicy(), round_trip=40, step_time=5.0)
+    >>> compute_lead_steps(LeadTimePolicy(), round_trip=40, step_time=5.0)
     31
     """
     time_until_open = (
--- a/src/azurefold/core/groups/leadership.py
+++ b/src/azurefold/core/groups/leadership.py
@@ -175,13 +175,13 @@
             return False
         return self.is_confirmed(now) or 2 * reachable_peers >= known_peers
 
-    def on_row_acquired(self, term: int, asked_at: Millis) -> None:
-        """Record that this node's write of the row, sent at ``asked_at``, succeeded."""
+    def on_row_acquired(self, term: int, sent_at: Millis) -> None:
+        """Record that this node's write of the row, sent at ``sent_at``, succeeded."""
         self.term = term
         self._is_leader = True
         self._has_heartbeat = True
         self._is_leader_changing = False
-        self._confirmed_at = asked_at
+        self._confirmed_at = sent_at
 
     def on_row_refused(self, term: int, now: Millis) -> bool:
         """Record that another node holds the row; return whether a term was lost."""
--- a/src/azurefold/core/groups/map_change.py
+++ b/src/azurefold/core/groups/map_change.py
@@ -207,11 +207,11 @@
             return self._finish(ChangeEnd.NEW_EPOCH)
         self.record_pass_start(view.step, now - REPORT_AGE_MS)
         match self._phase:
-            case _Phase.PREPARING if view.prepared == self.version:
+            case _Phase.PREPARING if view.prepared_version == self.version:
                 self._confirmed.add(view.rank)
                 if len(self._confirmed) == self.size:
                     return self._start_hold(now)
-            case _Phase.ARMING if self.version in (view.armed, view.version):
+            case _Phase.ARMING if self.version in (view.armed_version, view.version):
                 return self._confirm_armed(view.rank, now)
             case _Phase.RELEASING if view.step >= self.step:
                 return self._finish(ChangeEnd.IN_EFFECT)
--- a/src/azurefold/core/groups/map_orders.py
+++ b/src/azurefold/core/groups/map_orders.py
@@ -123,14 +123,18 @@
         Number of the last pass that was started.
     version : int
         Version of the map in effect.
-    prepared, armed : int or None
-        Version of the map that is loaded, and of the map that is armed.
-    held : int or None
-        Number of the pass that this rank prevents the group from starting.
-    active : int
+    prepared_version : int or None
+        Version of the map whose weights are loaded for a change; None if there is none.
+    armed_version : int or None
+        Version of the map that the rank will switch to; None if it is not armed.
+    held_step : int or None
+        Number of the pass that this rank prevents the group from starting; None if it
+        holds none.
+    active_requests : int
         Number of requests the rank is running.
-    pace : float
-        Relative slowness of the rank itself; above 1 if it is a straggler.
+    slowdown : float
+        How much slower the rank itself is than a healthy one; above 1 if it is a
+        straggler.
     """
 
     rank: int
@@ -138,11 +142,11 @@
     is_running: bool
     step: int
     version: int = 0
-    prepared: int | None = None
-    armed: int | None = None
-    held: int | None = None
-    active: int = 0
-    pace: float = 1.0
+    prepared_version: int | None = None
+    armed_version: int | None = None
+    held_step: int | None = None
+    active_requests: int = 0
+    slowdown: float = 1.0
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/azurefold/core/groups/resumed_change.py
+++ b/src/azurefold/core/groups/resumed_change.py
@@ -23,10 +23,10 @@
     views : list of RankView
         Reports of all ranks of the group, in one epoch.
     """
-    held_steps = [view.held for view in views if view.held is not None]
+    held_steps = [view.held_step for view in views if view.held_step is not None]
     if not held_steps:
         return False
-    if any(view.armed is not None for view in views):
+    if any(view.armed_version is not None for view in views):
         return True
     return max(view.step for view in views) >= max(held_steps) - 1
 
@@ -54,11 +54,13 @@
         The change and its first actions, None if no rank holds the group. The change
         arms all ranks if any rank is armed, else it only releases the hold.
     """
-    holding_views = [view for view in views if view.held is not None]
+    holding_views = [view for view in views if view.held_step is not None]
     if not holding_views:
         return None
-    step = max(view.held for view in holding_views)
-    armed_versions = {view.armed for view in views if view.armed is not None}
+    step = max(view.held_step for view in holding_views)
+    armed_versions = {
+        view.armed_version for view in views if view.armed_version is not None
+    }
     change = MapChange(
         max(armed_versions, default=0), views[0].epoch, len(views), policy
     )
--- a/src/azurefold/gateway/groups/changes.py
+++ b/src/azurefold/gateway/groups/changes.py
@@ -164,9 +164,9 @@
         while another one, which has not heard of it for a moment, releases the
         group. Ranks armed at that moment run the pass under another map.
         """
-        if any(view.armed is not None for view in views):
+        if any(view.armed_version is not None for view in views):
             return False
-        held = max(view.held for view in views if view.held is not None)
+        held = max(view.held_step for view in views if view.held_step is not None)
         if held != self._unarmed_hold:
             self._unarmed_hold, self._unarmed_since = held, self._now
         return self._now - self._unarmed_since < _UNARMED_HOLD_MS
--- a/src/azurefold/gateway/groups/map_planning.py
+++ b/src/azurefold/gateway/groups/map_planning.py
@@ -132,7 +132,9 @@
     Lets other work go on between steps: a plan takes some 50 ms, in which no event
     of any stream would go out.
     """
-    speeds = tuple(1.0 / max(1.0, view.views[rank].pace) for rank in range(view.size))
+    speeds = tuple(
+        1.0 / max(1.0, view.views[rank].slowdown) for rank in range(view.size)
+    )
     policy = _policy(engine)
     limits = WeightLoadLimits(engine.max_loads_per_change, _loads_of_a_rank(engine))
     steps = plan_layers(view.placements, popularity, speeds, policy, limits)
--- a/src/azurefold/gateway/groups/view.py
+++ b/src/azurefold/gateway/groups/view.py
@@ -76,7 +76,9 @@
     def running(self) -> float | None:
         """Requests that each rank runs, on average; None without any report."""
         views = self.views.values()
-        return sum(view.active for view in views) / len(views) if views else None
+        return (
+            sum(view.active_requests for view in views) / len(views) if views else None
+        )
 
     @property
     def epoch(self) -> int:
@@ -102,14 +104,16 @@
         """Of all maps that ranks report to have in force, prepared or armed."""
         views = self.views.values()
         versions = (
-            v for each in views for v in (each.version, each.prepared, each.armed)
+            v
+            for each in views
+            for v in (each.version, each.prepared_version, each.armed_version)
         )
         return max(filter(None, versions), default=0)
 
     @property
     def is_held(self) -> bool:
         """Whether any rank keeps the group from a pass."""
-        return any(view.held is not None for view in self.views.values())
+        return any(view.held_step is not None for view in self.views.values())
 
     @property
     def oldest_report_at(self) -> Millis:
--- a/src/azurefold/gateway/groups/watch.py
+++ b/src/azurefold/gateway/groups/watch.py
@@ -100,7 +100,9 @@
         if self.service.admission.pool.in_flight:
             return True
         views = self.groups.values()
-        return any(rank.active for view in views for rank in view.views.values())
+        return any(
+            rank.active_requests for view in views for rank in view.views.values()
+        )
 
     def look_at_due(self) -> None:
         """Ask each rank whose last report is old for another one.
--- a/src/azurefold/platform/ranks.py
+++ b/src/azurefold/platform/ranks.py
@@ -114,11 +114,11 @@
             is_running=group.state == _OPEN,
             step=read.step,
             version=read.version,
-            prepared=read.prepared,
-            armed=_number(read.armed, "Version"),
-            held=_number(read.held, "step"),
-            active=read.active,
-            pace=read.pace,
+            prepared_version=read.prepared,
+            armed_version=_number(read.armed, "Version"),
+            held_step=_number(read.held, "step"),
+            active_requests=read.active,
+            slowdown=read.pace,
         )
         return RankReport(group.name, read.size, view, read.born)
 
--- a/src/azurefold_standins/bare_endpoints.py
+++ b/src/azurefold_standins/bare_endpoints.py
@@ -217,9 +217,9 @@
                 "size": self.site.group.size,
                 "step": view.step,
                 "ExpertMap": view.version,
-                "Prepared": view.prepared,
-                "Armed": view.armed,
-                "held": view.held,
+                "Prepared": view.prepared_version,
+                "Armed": view.armed_version,
+                "held": view.held_step,
                 "pace": 1.0,
             }
         )
--- a/tests/core/balance/test_explain_proposal.py
+++ b/tests/core/balance/test_explain_proposal.py
@@ -1,8 +1,8 @@
 """The text of ``azurefold rebalance --explain``."""
 
 from azurefold.core.balance.explain import explain_proposal
+from azurefold.core.balance.move_search import propose_rebalance
 from azurefold.core.balance.proposal import LayerView
-from azurefold.core.balance.search import propose_rebalance
 from azurefold.core.balance.straggler import Straggler
 
 HOUR_MS = 3_600_000
--- a/tests/core/balance/test_greedy_search.py
+++ b/tests/core/balance/test_greedy_search.py
@@ -25,7 +25,7 @@
     for _ in range(steps):
         if not search.relieve_slowest_rank(MAX_LOADS_PER_RANK):
             break
-    placement = search.placement()
+    placement = search.build_placement()
     assert placement.find_violations() == ()
     expected_loads = assign_evenly(placement).rank_loads(rates)
     assert search.rank_loads == pytest.approx(expected_loads, abs=1e-6)
--- a/tests/core/balance/test_move_search.py
+++ b/tests/core/balance/test_move_search.py
@@ -4,14 +4,14 @@
 
 import pytest
 
-from azurefold.core.balance.moves import count_weight_loads
-from azurefold.core.balance.policy import BalancePolicy, MoveWindow, move_factor
-from azurefold.core.balance.proposal import MoveReason
-from azurefold.core.balance.search import (
+from azurefold.core.balance.move_search import (
     _MoveSearch,
     propose_layer,
     propose_rebalance,
 )
+from azurefold.core.balance.moves import count_weight_loads
+from azurefold.core.balance.policy import BalancePolicy, MoveWindow, move_factor
+from azurefold.core.balance.proposal import MoveReason
 
 HOUR_MS = 3_600_000
 
--- a/tests/core/balance/test_proposal_invariants.py
+++ b/tests/core/balance/test_proposal_invariants.py
@@ -6,17 +6,17 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from azurefold.core.balance import moves, search
+from azurefold.core.balance import move_search, moves
+from azurefold.core.balance.move_search import (
+    compute_cost,
+    propose_layer,
+    propose_rebalance,
+)
 from azurefold.core.balance.moves import Drop, apply_move, count_weight_loads
 from azurefold.core.balance.packing import pack_experts
 from azurefold.core.balance.placement import assign_evenly, validate_assignment
 from azurefold.core.balance.policy import BalancePolicy, ReplicaSplit, move_factor
 from azurefold.core.balance.proposal import LayerView, MoveReason
-from azurefold.core.balance.search import (
-    compute_cost,
-    propose_layer,
-    propose_rebalance,
-)
 from azurefold.core.balance.shares import build_layer_loads
 
 DAY_MS = 24 * 3_600_000
@@ -119,7 +119,7 @@
     costly_policy = BalancePolicy(skew_weight=0.0001, move_weight=100.0)
     check_proposal(hot_layer, costly_policy)
     monkeypatch.setattr(
-        search._MoveSearch, "_classify", lambda *_: MoveReason.GAIN_ABOVE_COST
+        move_search._MoveSearch, "_classify", lambda *_: MoveReason.GAIN_ABOVE_COST
     )
     with pytest.raises(AssertionError):
         check_proposal(hot_layer, costly_policy)
--- a/tests/core/balance/test_stragglers.py
+++ b/tests/core/balance/test_stragglers.py
@@ -2,11 +2,11 @@
 
 import pytest
 
+from azurefold.core.balance.move_search import propose_layer
 from azurefold.core.balance.packing import pack_experts
 from azurefold.core.balance.placement import assign_evenly
 from azurefold.core.balance.policy import BalancePolicy
 from azurefold.core.balance.proposal import LayerView
-from azurefold.core.balance.search import propose_layer
 from azurefold.core.balance.straggler import (
     find_stragglers,
     initial_paces,
--- a/tests/core/groups/test_leadership.py
+++ b/tests/core/groups/test_leadership.py
@@ -33,7 +33,7 @@
 
 
 def test_a_leader_steps_down_on_a_higher_term(second_node):
-    second_node.on_row_acquired(5, asked_at=0)
+    second_node.on_row_acquired(5, sent_at=0)
     assert second_node.is_leader
     assert second_node.on_heartbeat(LeaderHeartbeat("n1", 6), now=100)
     assert not second_node.is_leader
@@ -47,7 +47,7 @@
     it reaches few of its peers.
     """
     leadership = Leadership("n1")
-    leadership.on_row_acquired(3, asked_at=1_000)
+    leadership.on_row_acquired(3, sent_at=1_000)
     assert leadership.can_start_change(reachable_peers=0, known_peers=8, now=1_500)
     assert not leadership.can_start_change(reachable_peers=3, known_peers=8, now=5_000)
     assert leadership.policy.confirmation_ttl < leadership.policy.heartbeat_timeout
@@ -60,7 +60,7 @@
     answer of the store. No other node took over, because the heartbeats continued.
     """
     leadership = Leadership("n1")
-    leadership.on_row_acquired(3, asked_at=1_000)
+    leadership.on_row_acquired(3, sent_at=1_000)
     assert leadership.can_start_change(reachable_peers=8, known_peers=8, now=13_000)
 
 
@@ -69,7 +69,7 @@
 
 
 def test_a_lost_row_ends_the_term(second_node):
-    second_node.on_row_acquired(5, asked_at=0)
+    second_node.on_row_acquired(5, sent_at=0)
     assert second_node.on_row_refused(9, now=50)
     assert not second_node.is_leader
     assert not second_node.should_take_over(
@@ -101,7 +101,7 @@
 
 
 def test_a_leader_that_resigned_backs_off(second_node):
-    second_node.on_row_acquired(5, asked_at=0)
+    second_node.on_row_acquired(5, sent_at=0)
     second_node.resign(now=100)
     assert not second_node.is_leader
     assert not second_node.should_take_over(100 + second_node.policy.resign_backoff - 1)
