--- a/src/azurefold/core/routing/pool.py
+++ b/src/azurefold/core/routing/pool.py
@@ -121,7 +121,7 @@
         prefill = uncached * self._policy.choice.prefill
         known.start(attempt_id, Attempt(now, request.prefixes, prefill))
         self._members.recount(known)
-        if self._quotas.sent(endpoint, now):
+        if self._quotas.charge_request(endpoint, now):
             self._refresh(now)
 
     def record_first_token(self, endpoint: str, attempt_id: str, now: Millis) -> None:
--- a/src/azurefold/core/routing/pool_state.py
+++ b/src/azurefold/core/routing/pool_state.py
@@ -188,7 +188,7 @@
         for name, endpoint in self._members.by_name.items():
             endpoint.is_suspected = name in names
 
-    def has_slots(self, endpoint: str) -> bool:
+    def is_within_slots(self, endpoint: str) -> bool:
         """Whether an endpoint has no more requests than slots, from all nodes."""
         known = self._members.by_name.get(endpoint)
         return known is not None and known.in_flight + known.others <= known.slots
--- a/src/azurefold/core/routing/quotas.py
+++ b/src/azurefold/core/routing/quotas.py
@@ -154,7 +154,7 @@
             return False
         return self._take(endpoint, word, now, is_own=False)
 
-    def sent(self, endpoint: str, now: Millis) -> bool:
+    def charge_request(self, endpoint: str, now: Millis) -> bool:
         """Charge a request that goes to an endpoint; return whether it has a quota."""
         known = self._quotas.get(endpoint)
         if known is None or known.word.rate is None:
--- a/src/azurefold/core/routing/rank_groups.py
+++ b/src/azurefold/core/routing/rank_groups.py
@@ -95,7 +95,7 @@
         """Return the number of an endpoint's group; 0 if it is not known."""
         return self._group_of.get(endpoint_hash(endpoint), _UNKNOWN)
 
-    def update(self, news: GroupStatus, now: Millis) -> bool:
+    def update_status(self, news: GroupStatus, now: Millis) -> bool:
         """Take in what the coordinator tells; return whether anything changed."""
         standing = self._standing(news.group)
         if news.epoch < standing.epoch:
@@ -203,7 +203,7 @@
                 return endpoint
         return None
 
-    def retain(self, endpoints: Iterable[str]) -> None:
+    def retain_ranks(self, endpoints: Iterable[str]) -> None:
         """Forget the ranks that are gone."""
         marks = {endpoint_hash(endpoint) for endpoint in endpoints}
         for gone in self._group_of.keys() - marks:
--- a/src/azurefold/core/routing/retries.py
+++ b/src/azurefold/core/routing/retries.py
@@ -100,7 +100,7 @@
         self, policy: RetryPolicy | None = None, part: RetryAllowance | None = None
     ) -> None:
         self._policy = policy or RetryPolicy()
-        self._part = part or RetryAllowance(2.0)
+        self._allowance = part or RetryAllowance(2.0)
         self._requests = _StepCounts()
         self._retries = _StepCounts()
 
@@ -149,7 +149,7 @@
             paid_each * (end - start + sooner_end - sooner_start) + made
             for start, end, sooner_start, sooner_end, made in windows
         )
-        return max(0.0, least - retries[-1] + self._part.at(now))
+        return max(0.0, least - retries[-1] + self._allowance.at(now))
 
     def try_retry(self, now: Millis) -> bool:
         """Take one retry out of the budget, if it has one left."""
--- a/src/azurefold/gateway/service_state.py
+++ b/src/azurefold/gateway/service_state.py
@@ -132,7 +132,7 @@
 
     def group_told(self, news: GroupStatus, now: Millis) -> None:
         """Take in what the coordinator tells of a group."""
-        if self.groups.update(news, now):
+        if self.groups.update_status(news, now):
             self._pause_groups(f"coordinator_{news.standing.name.lower()}")
         limit = self._limits.get(news.group)
         if limit is not None and news.running is not None:
@@ -152,7 +152,7 @@
         cause = next((name for name in named if name in self.entries), "")
         if at_fault and cause != endpoint:
             self.groups.record_refusal(endpoint, cause, now)
-        elif not self.admission.pool.has_slots(endpoint):
+        elif not self.admission.pool.is_within_slots(endpoint):
             return False
         elif not self.groups.record_refusal_with_room(endpoint, now):
             self._pause_groups("rank_refused_with_room")
@@ -310,7 +310,7 @@
             is_near = entry.data_centre == self.data_centre
             pool.set_distance(entry.name, 0 if is_near else _OTHER_DATA_CENTRE_MS)
         self._set_slots()
-        self.groups.retain(self.entries)
+        self.groups.retain_ranks(self.entries)
         self._pause_groups("endpoints_changed")
         self.admission.pump()
 
--- a/tests/core/routing/test_groups_that_are_down.py
+++ b/tests/core/routing/test_groups_that_are_down.py
@@ -23,8 +23,8 @@
 @pytest.fixture
 def groups():
     known = RankGroups()
-    known.update(news_of(11, 1, Standing.RUNS, FIRST), now=0)
-    known.update(news_of(22, 1, Standing.RUNS, SECOND), now=0)
+    known.update_status(news_of(11, 1, Standing.RUNS, FIRST), now=0)
+    known.update_status(news_of(22, 1, Standing.RUNS, SECOND), now=0)
     return known
 
 
@@ -65,9 +65,9 @@
     group runs right after a rank had refused.
     """
     groups.record_refusal("a0", "a1", now=1_000)
-    groups.update(news_of(11, 1, Standing.RUNS, FIRST), now=1_200)
+    groups.update_status(news_of(11, 1, Standing.RUNS, FIRST), now=1_200)
     assert groups.is_down("a0")
-    groups.update(news_of(11, 1, Standing.RUNS, FIRST), now=1_600)
+    groups.update_status(news_of(11, 1, Standing.RUNS, FIRST), now=1_600)
     assert not groups.is_down("a0")
 
 
@@ -79,20 +79,20 @@
     """
     groups.record_refusal("a0", "a1", now=1_000)
     assert groups.record_event("a1", sent_at=1_500, now=1_700)
-    assert not groups.update(news_of(11, 1, Standing.FORMS, FIRST), now=1_900)
+    assert not groups.update_status(news_of(11, 1, Standing.FORMS, FIRST), now=1_900)
     assert not groups.is_down("a0")
-    assert groups.update(news_of(11, 2, Standing.DOWN, FIRST), now=2_000)
+    assert groups.update_status(news_of(11, 2, Standing.DOWN, FIRST), now=2_000)
 
 
 def test_news_of_a_new_epoch_ends_an_outage_at_once(groups):
     groups.record_refusal("a0", "a1", now=1_000)
-    groups.update(news_of(11, 2, Standing.RUNS, FIRST), now=1_100)
+    groups.update_status(news_of(11, 2, Standing.RUNS, FIRST), now=1_100)
     assert not groups.is_down("a0")
 
 
 def test_news_of_an_old_epoch_changes_nothing(groups):
-    groups.update(news_of(11, 3, Standing.RUNS, FIRST), now=10)
-    assert not groups.update(news_of(11, 2, Standing.DOWN, FIRST), now=20)
+    groups.update_status(news_of(11, 3, Standing.RUNS, FIRST), now=10)
+    assert not groups.update_status(news_of(11, 2, Standing.DOWN, FIRST), now=20)
     assert not groups.is_down("a0")
 
 
@@ -109,22 +109,22 @@
 
 def test_a_group_that_the_coordinator_sees_down_is_not_tried(groups):
     for now in range(1_000, 4_000, 500):
-        groups.update(news_of(11, 1, Standing.DOWN, FIRST), now)
+        groups.update_status(news_of(11, 1, Standing.DOWN, FIRST), now)
         assert groups.take_probe(FIRST, now) is None
 
 
 def test_it_is_known_since_when_a_group_forms(groups):
-    groups.update(news_of(11, 1, Standing.DOWN, FIRST), now=100)
+    groups.update_status(news_of(11, 1, Standing.DOWN, FIRST), now=100)
     assert groups.forming_since(ALL) is None
-    groups.update(news_of(11, 1, Standing.FORMS, FIRST), now=400)
-    groups.update(news_of(11, 1, Standing.FORMS, FIRST), now=700)
+    groups.update_status(news_of(11, 1, Standing.FORMS, FIRST), now=400)
+    groups.update_status(news_of(11, 1, Standing.FORMS, FIRST), now=700)
     assert groups.forming_since(ALL) == 400
-    groups.update(news_of(11, 2, Standing.RUNS, FIRST), now=900)
+    groups.update_status(news_of(11, 2, Standing.RUNS, FIRST), now=900)
     assert groups.forming_since(ALL) is None
 
 
 def test_a_rank_is_in_the_group_that_was_told_last(groups):
-    groups.update(news_of(22, 2, Standing.RUNS, (*SECOND, "a0")), now=10)
+    groups.update_status(news_of(22, 2, Standing.RUNS, (*SECOND, "a0")), now=10)
     groups.record_refusal("b0", "b1", now=20)
     assert groups.is_down("a0")
     assert not groups.is_down("a1")
--- a/tests/core/routing/test_quotas_of_endpoints.py
+++ b/tests/core/routing/test_quotas_of_endpoints.py
@@ -43,7 +43,7 @@
             for name, known in self.quotas.items():
                 known.answered(NEEDY, self.rate, self.now, self.now)
                 if not known.closed(self.now):
-                    known.sent(NEEDY, self.now)
+                    known.charge_request(NEEDY, self.now)
                     self.arrivals.append((self.now, name))
 
     def check(self):
--- a/tests/gateway/test_messages_fit_at_any_size.py
+++ b/tests/gateway/test_messages_fit_at_any_size.py
@@ -118,7 +118,7 @@
             news = GroupStatus(
                 beat.service, beat.group, beat.epoch, beat.standing, beat.ranks
             )
-            receiver.update(news, time.at)
+            receiver.update_status(news, time.at)
     for group in range(groups):
         for rank in range(ranks // groups):
             assert receiver.group_of(f"rank-{group}-{rank}") == group + 1
--- a/tests/gateway/test_quotas_of_endpoints_hold.py
+++ b/tests/gateway/test_quotas_of_endpoints_hold.py
@@ -166,12 +166,12 @@
 
 
 def resumed_streams_that_are_free(monkeypatch):
-    sent = EndpointQuotas.sent
+    sent = EndpointQuotas.charge_request
 
     def mostly_free(known, endpoint, now):
         return now % 160 == 0 and sent(known, endpoint, now)
 
-    monkeypatch.setattr(EndpointQuotas, "sent", mostly_free)
+    monkeypatch.setattr(EndpointQuotas, "charge_request", mostly_free)
 
 
 def words_that_reach_nobody(monkeypatch):
--- a/tests/gateway/test_retries_of_all_gateways_stay_allowed.py
+++ b/tests/gateway/test_retries_of_all_gateways_stay_allowed.py
@@ -196,7 +196,7 @@
         window = budget._policy.window
         requests = decayed(budget._requests, now, window)
         retries = decayed(budget._retries, now, window)
-        return budget._policy.share * requests + budget._part.at(now) - retries
+        return budget._policy.share * requests + budget._allowance.at(now) - retries
 
     monkeypatch.setattr(RetryBudget, "left", left)
 
@@ -213,7 +213,7 @@
         requests = budget._requests.totals((now - window) // 100, now // 100 + 1)
         retries = budget._retries.totals((now - window) // 100, now // 100 + 1)
         paid = budget._policy.share * requests[-1]
-        return max(0.0, paid + budget._part.at(now) - retries[-1])
+        return max(0.0, paid + budget._allowance.at(now) - retries[-1])
 
     monkeypatch.setattr(RetryBudget, "left", left)
 
