--- a/src/azurefold/core/routing/__init__.py
+++ b/src/azurefold/core/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Which endpoint a request goes to."""
+"""Routing: choice of the endpoint that serves a request."""
--- a/src/azurefold/core/routing/cells.py
+++ b/src/azurefold/core/routing/cells.py
@@ -1,13 +1,13 @@
-"""Cells of nodes and endpoints, so that loads are told to a few nodes only.
+"""Partitions nodes and endpoints into cells, which limits the exchange of loads.
 
-With every node telling every other, messages grow with the square of the nodes:
-31 nodes sent some 15,000 a second. Nodes and endpoints are therefore dealt into
-as many cells as there are times nine nodes; the nodes of a cell send to its
-endpoints, and tell their loads to one another.
+If every node sent its loads to every other, the number of messages would grow with the
+square of the number of nodes: 31 nodes sent some 15,000 messages per second. Nodes and
+endpoints are therefore partitioned into cells of about nine nodes. The nodes of a cell
+send requests to its endpoints only, and exchange their loads only with each other.
 
-Cells are of the same size, and a name that comes or goes moves few others. What a
-node has sent to an endpoint goes on when either of them moves, so each move is a
-request more that the endpoint's new cell has to be told of.
+All cells have the same size, and few names change cells when a name is added or
+removed. Requests in flight continue when their node or endpoint moves, and must then be
+reported to the endpoint's new cell, so moves should be rare.
 """
 
 from collections.abc import Collection
@@ -16,39 +16,41 @@
 
 __all__ = ["Cell", "cell_of"]
 
-_NODES_OF_A_CELL = 9
-"""The size that each user has today, where all nodes know all loads."""
+_NODES_PER_CELL = 9
+"""Number of nodes that exchange all their loads, as in a deployment without cells."""
 
-_LEAST_ENDPOINTS = 8
-"""With fewer endpoints in a cell, one that is slow or gone is too much of it;
-all nodes then send to all endpoints of the service."""
+_MIN_ENDPOINTS_PER_CELL = 8
+"""Smallest number of endpoints per cell.
 
-_ALONE = (frozenset[str](),)
+With fewer, a single slow or missing endpoint would be too large a part of its cell. All
+nodes then send to all endpoints of the service."""
+
+_SINGLE_CELL = (frozenset[str](),)
 
 
 @dataclass(frozen=True, slots=True)
 class Cell:
-    """One node's cell.
+    """Cell of one node.
 
     Parameters
     ----------
     number : int
-        This cell among all.
+        Index of this cell in ``cells``.
     cells : tuple of frozenset of str
         Nodes of each cell.
     """
 
     number: int = 0
-    cells: tuple[frozenset[str], ...] = _ALONE
+    cells: tuple[frozenset[str], ...] = _SINGLE_CELL
 
     @property
     def count(self) -> int:
-        """How many cells there are."""
+        """Number of cells."""
         return len(self.cells)
 
     @property
     def nodes(self) -> frozenset[str]:
-        """Nodes of this cell, this one included."""
+        """Nodes of this cell, this node included."""
         return self.cells[self.number]
 
     def assign_endpoints(self, endpoints: Collection[str]) -> dict[str, int]:
@@ -57,16 +59,16 @@
         Examples
         --------
         >>> cell = Cell(1, (frozenset({"n1"}), frozenset({"n2"})))
-        >>> dealt = cell.assign_endpoints([f"e{number:02}" for number in range(16)])
-        >>> list(dealt.values()).count(0), list(dealt.values()).count(1)
+        >>> cells = cell.assign_endpoints([f"e{number:02}" for number in range(16)])
+        >>> list(cells.values()).count(0), list(cells.values()).count(1)
         (8, 8)
         """
-        cells = _dealt(endpoints, self.count)
+        cells = _partition(endpoints, self.count)
         return {name: number for number, names in enumerate(cells) for name in names}
 
     def should_partition(self, endpoints: Collection[str]) -> bool:
-        """Whether the endpoints of a service are dealt out to the cells."""
-        return self.count > 1 and len(endpoints) >= _LEAST_ENDPOINTS * self.count
+        """Whether the endpoints of a service are partitioned into cells."""
+        return self.count > 1 and len(endpoints) >= _MIN_ENDPOINTS_PER_CELL * self.count
 
 
 def cell_of(node: str, nodes: Collection[str]) -> Cell:
@@ -79,23 +81,23 @@
     (3, 9, True)
     """
     names = {node, *nodes}
-    count = max(1, round(len(names) / _NODES_OF_A_CELL))
-    cells = _dealt(names, count)
-    number = next(n for n, members in enumerate(cells) if node in members)
+    count = max(1, round(len(names) / _NODES_PER_CELL))
+    cells = _partition(names, count)
+    number = next(index for index, members in enumerate(cells) if node in members)
     return Cell(number, tuple(map(frozenset, cells)))
 
 
-def _dealt(names: Collection[str], count: int) -> list[set[str]]:
-    """Deal names to cells by hash; what a full cell has no room for goes to the next.
+def _partition(names: Collection[str], count: int) -> list[set[str]]:
+    """Assign names to cells by hash; a name whose cell is full goes to the next cell.
 
-    Names are taken in the order of their hashes, so that one that is gone only makes
-    room for some of those behind it.
+    Names are assigned in the order of their hashes, so that removing a name moves only
+    some of the names after it.
     """
-    least, larger = divmod(len(names), count)
+    min_size, larger_count = divmod(len(names), count)
     cells: list[set[str]] = [set() for _ in range(count)]
-    for mark, name in sorted((crc32(name.encode()), name) for name in names):
-        number = mark % count
-        while len(cells[number]) >= least + (number < larger):
+    for name_hash, name in sorted((crc32(name.encode()), name) for name in names):
+        number = name_hash % count
+        while len(cells[number]) >= min_size + (number < larger_count):
             number = (number + 1) % count
         cells[number].add(name)
     return cells
--- a/src/azurefold/core/routing/choice.py
+++ b/src/azurefold/core/routing/choice.py
@@ -1,7 +1,7 @@
-"""Two random choices by expected wait.
+"""Choice of an endpoint by expected wait, among random candidates.
 
-Of two endpoints drawn at random, and one that is hinted to hold the prompt's
-prefix, the one with the least expected wait is taken (Mitzenmacher, "The
+The candidates are two endpoints drawn at random, and one that has probably cached the
+prompt's prefix. The one with the shortest expected wait is chosen (Mitzenmacher, "The
 power of two choices in randomized load balancing", 2001).
 """
 
@@ -15,8 +15,8 @@
 __all__ = [
     "ChoicePolicy",
     "PoolMeans",
-    "all_with_room",
-    "draw_by_room",
+    "draw_weighted_by_room",
+    "endpoints_with_room",
     "draw_two",
     "expected_wait",
 ]
@@ -34,44 +34,46 @@
     prefill : float
         Milliseconds of prefill for one prompt token that is not cached.
     prefill_weight : float
-        How often a prefill counts, since the rest of the batch waits for it too.
-    sharing : float
-        Part of an answer's time that a full batch adds before any queue.
+        Factor for the prefill time, because the rest of the batch waits for it too.
+    batch_weight : float
+        Share of an answer's duration that a full batch adds, without any queueing.
     failure_penalty : int
-        Milliseconds added for an endpoint that fails always.
-    doubt_penalty : int
-        Milliseconds added for an endpoint whose group seems to stand still.
+        Milliseconds added for an endpoint whose requests all fail.
+    suspicion_penalty : int
+        Milliseconds added for an endpoint whose group is possibly stalled.
     """
 
     prefill: float = 0.1
     prefill_weight: float = 4.0
-    sharing: float = 0.25
+    batch_weight: float = 0.25
     failure_penalty: Millis = 4_000
-    doubt_penalty: Millis = 1_500
+    suspicion_penalty: Millis = 1_500
 
 
 @dataclass(slots=True)
 class PoolMeans:
-    """Means over the pool that stand in for what one endpoint has not shown.
+    """Means over the pool, used for endpoints without observations of their own.
 
     Parameters
     ----------
-    others : float
+    peer_requests : float
         Requests of other nodes at an endpoint.
-    pace : float
+    token_interval : float
         Milliseconds between tokens.
-    tokens : float
-        Tokens of an answer.
+    answer_tokens : float
+        Number of tokens of an answer.
     """
 
-    others: float = 0.0
-    pace: float = 20.0
-    tokens: float = 100.0
+    peer_requests: float = 0.0
+    token_interval: float = 20.0
+    answer_tokens: float = 100.0
 
-    def learn(self, pace: float, tokens: int) -> None:
-        """Learn from one answer."""
-        self.pace += _ANSWER_SMOOTHING * (pace - self.pace)
-        self.tokens += _ANSWER_SMOOTHING * (tokens - self.tokens)
+    def observe_answer(self, token_interval: float, answer_tokens: int) -> None:
+        """Update the means with one answer."""
+        self.token_interval += _ANSWER_SMOOTHING * (
+            token_interval - self.token_interval
+        )
+        self.answer_tokens += _ANSWER_SMOOTHING * (answer_tokens - self.answer_tokens)
 
 
 def expected_wait(
@@ -82,45 +84,50 @@
     policy: ChoicePolicy,
     now: Millis,
 ) -> float:
-    """Return the milliseconds a request is expected to lose at ``endpoint``.
+    """Return the expected wait, in milliseconds, of a request at ``endpoint``.
 
     Parameters
     ----------
     endpoint : Endpoint
         The candidate.
     uncached_tokens : int
-        Prompt tokens that it would have to compute.
+        Prompt tokens that the candidate would have to compute.
     failure_rate : float
         Smoothed share of failures, between 0 and 1.
     means : PoolMeans
-        What to assume where the candidate has shown nothing yet.
+        Values for what has not been observed at the candidate yet.
     policy : ChoicePolicy
         The weights.
     now : int
         The present time.
     """
-    pace = means.pace if endpoint.pace is None else endpoint.pace
-    answer = pace * means.tokens
-    fill = (endpoint.load(means.others, now) + 1.0) / endpoint.slots
-    queue = answer * max(0.0, fill - 1.0)
-    sharing = policy.sharing * answer * (1.0 + fill)
-    prefill = policy.prefill * uncached_tokens * pace / means.pace
-    prefill *= policy.prefill_weight
-    # An endpoint that fails at once is always idle. Without the penalty it
-    # would draw in most of the traffic until it is ejected.
-    penalty = failure_rate * policy.failure_penalty
-    # A group that stands still takes requests and refuses them 1.5 s later.
-    suspicion_penalty = policy.doubt_penalty if endpoint.is_suspected else 0
-    return queue + sharing + prefill + penalty + suspicion_penalty + endpoint.distance
+    token_interval = (
+        means.token_interval
+        if endpoint.token_interval is None
+        else endpoint.token_interval
+    )
+    answer_ms = token_interval * means.answer_tokens
+    fill = (endpoint.expected_load(means.peer_requests, now) + 1.0) / endpoint.slots
+    queue_ms = answer_ms * max(0.0, fill - 1.0)
+    batch_ms = policy.batch_weight * answer_ms * (1.0 + fill)
+    prefill_ms = (
+        policy.prefill * uncached_tokens * token_interval / means.token_interval
+    )
+    prefill_ms *= policy.prefill_weight
+    # An endpoint that fails at once is always idle. Without the penalty it would
+    # attract most of the traffic until it is ejected.
+    failure_ms = failure_rate * policy.failure_penalty
+    # A stalled group accepts requests and refuses them 1.5 s later.
+    stall_ms = policy.suspicion_penalty if endpoint.is_suspected else 0
+    return queue_ms + batch_ms + prefill_ms + failure_ms + stall_ms + endpoint.distance
 
 
 def draw_two(
     eligible: list[Endpoint], request: RouteRequest, draws: tuple[float, float]
 ) -> Iterator[Endpoint]:
-    """Yield up to two endpoints with room, from two random places on.
+    """Yield up to two endpoints with room, searching from two random positions.
 
-    Full or excluded ones are passed over to the next in line, so that room
-    anywhere is found.
+    Full and excluded endpoints are skipped, so that any endpoint with room is found.
     """
     first = _next_with_room(eligible, request, draws[0], None)
     if first is None:
@@ -131,46 +138,46 @@
         yield second
 
 
-def all_with_room(
+def endpoints_with_room(
     eligible: list[Endpoint], request: RouteRequest, draw: float
 ) -> list[Endpoint]:
-    """Return all that may take ``request``, from a random place on.
+    """Return all endpoints with room for ``request``, from a random position on.
 
-    With loads that are fresh on every node the least loaded endpoint can be
-    found; two random ones leave some full beside others that idle, and in a
-    group whose ranks work in lock-step the fullest sets the pace.
+    When all nodes know the present loads, the least loaded endpoint can be found. Two
+    random candidates would leave some endpoints idle while others are full, and in a
+    group whose ranks work in lock-step the fullest rank determines the speed.
     """
     start = int(draw * len(eligible))
-    turned = eligible[start:] + eligible[:start]
+    rotated = eligible[start:] + eligible[:start]
     return [
         endpoint
-        for endpoint in turned
+        for endpoint in rotated
         if endpoint.has_room and endpoint.name not in request.exclude
     ]
 
 
-def draw_by_room(endpoints: list[Endpoint], draw: float) -> Endpoint:
-    """Return one of ``endpoints``, each as likely as it has room.
+def draw_weighted_by_room(endpoints: list[Endpoint], draw: float) -> Endpoint:
+    """Return one of ``endpoints``, with a probability proportional to its room.
 
-    Nodes that choose at the same moment take different ones, and those with most
-    room get most of their requests.
+    Nodes that choose at the same moment thus choose different endpoints, and endpoints
+    with more room get more of their requests.
     """
-    left = draw * sum(endpoint.room for endpoint in endpoints)
+    remaining = draw * sum(endpoint.room for endpoint in endpoints)
     for endpoint in endpoints:
-        left -= endpoint.room
-        if left < 0:
+        remaining -= endpoint.room
+        if remaining < 0:
             return endpoint
     return endpoints[-1]
 
 
 def _next_with_room(
-    eligible: list[Endpoint], request: RouteRequest, draw: float, taken: Endpoint | None
+    eligible: list[Endpoint], request: RouteRequest, draw: float, other: Endpoint | None
 ) -> Endpoint | None:
     count = len(eligible)
     start = int(draw * count)
     for step in range(count):
         candidate = eligible[(start + step) % count]
-        if candidate is taken or candidate.name in request.exclude:
+        if candidate is other or candidate.name in request.exclude:
             continue
         if candidate.has_room:
             return candidate
--- a/src/azurefold/core/routing/concurrency.py
+++ b/src/azurefold/core/routing/concurrency.py
@@ -1,9 +1,9 @@
-"""How many requests this node keeps in flight at one endpoint.
+"""Adaptive limit on this node's requests in flight at one endpoint.
 
-Additive increase, multiplicative decrease on the delay that the endpoint's
-own queue adds to the first token, in the manner of Netflix's
-concurrency-limits and TCP Vegas. Requests beyond the limit wait here, where
-priorities and fairness are known, and not in an engine's queue.
+The limit uses additive increase and multiplicative decrease, based on the delay that
+the endpoint's queue adds to the first token, like Netflix's concurrency-limits and TCP
+Vegas. Requests beyond the limit wait at this node, which knows priorities and fairness,
+and not in an engine's queue.
 """
 
 from dataclasses import dataclass
@@ -15,104 +15,107 @@
 
 @dataclass(frozen=True, slots=True)
 class ConcurrencyPolicy:
-    """Bounds and pace of a limit.
+    """Bounds of a concurrency limit, and how it adapts.
 
     Parameters
     ----------
-    initial, smallest, largest : int
+    initial, min_limit, max_limit : int
         Requests in flight.
-    queue_target : int
-        Milliseconds of queueing at the endpoint that are put up with.
-    decrease : float
-        Factor applied when the target is exceeded.
+    queue_target_ms : int
+        Queueing delay at the endpoint that is accepted.
+    decrease_factor : float
+        Factor applied to the limit when the target is exceeded.
     """
 
     initial: int = 16
-    smallest: int = 1
-    largest: int = 256
-    queue_target: Millis = 600
-    decrease: float = 0.85
+    min_limit: int = 1
+    max_limit: int = 256
+    queue_target_ms: Millis = 600
+    decrease_factor: float = 0.85
 
 
-_SMOOTHING = 0.2
-_BASE_DRIFT = 0.01
+_EXCESS_SMOOTHING = 0.2
+_BASELINE_DRIFT = 0.01
 
 
 class ConcurrencyLimit:
-    """The limit of one endpoint.
+    """Concurrency limit of one endpoint.
 
     Parameters
     ----------
     policy : ConcurrencyPolicy
-        Bounds and pace.
+        Bounds, and how the limit adapts.
     """
 
     def __init__(self, policy: ConcurrencyPolicy) -> None:
         self._policy = policy
-        self._largest = policy.largest
+        self._max_limit = policy.max_limit
         self._limit = float(policy.initial)
-        self._base: float | None = None
-        self._smoothed = 0.0
-        self._next_decrease: Millis = 0
+        self._baseline_ms: float | None = None
+        self._smoothed_ms = 0.0
+        self._next_decrease_at: Millis = 0
 
     @property
     def limit(self) -> int:
-        """Requests this node may have in flight there."""
+        """Number of requests that this node may have in flight."""
         return int(self._limit)
 
-    def set_largest(self, largest: int) -> None:
-        """Take in the operators' bound; a limit still untried begins there."""
-        if largest == self._largest:
+    def set_max_limit(self, max_limit: int) -> None:
+        """Set the configured bound; a limit without observations starts at it."""
+        if max_limit == self._max_limit:
             return
-        self._largest = largest
-        untried = self._base is None and self._limit >= self._policy.initial
-        self._limit = float(largest) if untried else min(self._limit, float(largest))
+        self._max_limit = max_limit
+        is_unused = self._baseline_ms is None and self._limit >= self._policy.initial
+        self._limit = (
+            float(max_limit) if is_unused else min(self._limit, float(max_limit))
+        )
 
     def observe_first_token(
-        self, wait: Millis, prefill: float, in_flight: int, now: Millis
+        self, wait_ms: Millis, prefill_ms: float, in_flight: int, now: Millis
     ) -> None:
-        """Learn from the wait for a first token.
+        """Adapt the limit to the wait for a first token.
 
         Parameters
         ----------
-        wait : int
+        wait_ms : int
             Milliseconds from dispatch to the first token.
-        prefill : float
-            Milliseconds of ``wait`` that the prompt itself explains.
+        prefill_ms : float
+            Milliseconds of ``wait_ms`` that are due to the prefill of the prompt.
         in_flight : int
-            Requests this node had there, this one included.
+            This node's requests at the endpoint, this one included.
         now : int
             The present time.
         """
-        excess = max(0.0, wait - prefill)
-        if self._base is None:
-            self._base = excess
-            self._smoothed = excess
-        # The lowest wait seen stands for an empty queue. It drifts up, so that
-        # an endpoint that became slower for good is not throttled for ever.
-        drift = _BASE_DRIFT * (excess - self._base)
-        self._base = min(excess, self._base + drift)
-        self._smoothed += _SMOOTHING * (excess - self._smoothed)
-        if self._smoothed - self._base > self._policy.queue_target:
-            self._decrease(wait, now)
+        excess_ms = max(0.0, wait_ms - prefill_ms)
+        if self._baseline_ms is None:
+            self._baseline_ms = excess_ms
+            self._smoothed_ms = excess_ms
+        # The baseline is the shortest wait observed, which corresponds to an empty
+        # queue. It drifts up, so that an endpoint that has become permanently slower is
+        # not throttled for ever.
+        drift = _BASELINE_DRIFT * (excess_ms - self._baseline_ms)
+        self._baseline_ms = min(excess_ms, self._baseline_ms + drift)
+        self._smoothed_ms += _EXCESS_SMOOTHING * (excess_ms - self._smoothed_ms)
+        if self._smoothed_ms - self._baseline_ms > self._policy.queue_target_ms:
+            self._decrease(wait_ms, now)
         elif 2 * in_flight >= self._limit:
-            self._limit = min(self._largest, self._limit + 1 / self._limit)
+            self._limit = min(self._max_limit, self._limit + 1 / self._limit)
 
     def observe_refusal(self, now: Millis) -> None:
-        """Learn that the endpoint would not take a request."""
-        self._decrease(self._policy.queue_target, now)
-
-    def restart(self) -> None:
-        """Begin again from the smallest limit, after an ejection."""
-        self._limit = float(self._policy.smallest)
-        self._base = None
-
-    def _decrease(self, wait: Millis, now: Millis) -> None:
-        # One congested moment shows in every answer in flight. Without this
-        # pause each of them would shrink the limit and it would fall to the
-        # smallest at once; seen as an endpoint idle beside a full queue.
-        if now < self._next_decrease:
+        """Decrease the limit because the endpoint refused a request."""
+        self._decrease(self._policy.queue_target_ms, now)
+
+    def reset(self) -> None:
+        """Return to the smallest limit after an ejection."""
+        self._limit = float(self._policy.min_limit)
+        self._baseline_ms = None
+
+    def _decrease(self, wait_ms: Millis, now: Millis) -> None:
+        # One moment of congestion delays all responses in flight. Without this pause,
+        # each of them would decrease the limit, which would fall to its minimum at
+        # once, and the endpoint would be idle while requests are queued.
+        if now < self._next_decrease_at:
             return
-        self._next_decrease = now + wait
-        shrunk = self._limit * self._policy.decrease
-        self._limit = max(float(self._policy.smallest), shrunk)
+        self._next_decrease_at = now + wait_ms
+        decreased = self._limit * self._policy.decrease_factor
+        self._limit = max(float(self._policy.min_limit), decreased)
--- a/src/azurefold/core/routing/ejection.py
+++ b/src/azurefold/core/routing/ejection.py
@@ -1,7 +1,7 @@
-"""Leaving out an endpoint that fails, for a while and never too many.
+"""Temporary ejection of failing endpoints, up to a maximum share of the pool.
 
-The decision is this node's own: no other node is told, so one node with a bad
-network path cannot talk the rest out of a healthy endpoint.
+Each node decides for itself and does not report ejections to other nodes. A node with
+a bad network path therefore cannot make the others avoid a healthy endpoint.
 """
 
 from dataclasses import dataclass, field
@@ -15,110 +15,115 @@
 
 @dataclass(frozen=True, slots=True)
 class EjectionPolicy:
-    """When and for how long an endpoint is left out.
+    """Thresholds and durations of ejections.
 
     Parameters
     ----------
     consecutive_failures : int
-        Failures in a row that eject.
+        Number of consecutive failures that causes an ejection.
     failure_rate : float
-        Smoothed share of failures that ejects.
+        Smoothed share of failures that causes an ejection.
     slow_ratio : float
-        Time between tokens over the pool's median that ejects.
-    stuck_after : int
-        Milliseconds without any progress, with requests waiting, that eject.
+        Time between tokens, relative to the pool's median, that causes an ejection.
+    stuck_after_ms : int
+        Time without progress, while requests wait, that causes an ejection.
     min_samples : int
-        Outcomes needed before rate or slowness is judged.
-    base_term, longest_term : int
-        Milliseconds of the first ejection, doubled each time up to the longest.
+        Outcomes needed before the failure rate or the speed is evaluated.
+    base_ejection_ms, max_ejection_ms : int
+        Duration of the first ejection, doubled each time up to the maximum.
     max_share : float
-        Share of the pool that may be ejected at one time.
+        Largest share of the pool that may be ejected at the same time.
     """
 
     consecutive_failures: int = 3
     failure_rate: float = 0.5
     slow_ratio: float = 4.0
-    stuck_after: Millis = 3_000
+    stuck_after_ms: Millis = 3_000
     min_samples: int = 10
-    base_term: Millis = 5_000
-    longest_term: Millis = 120_000
+    base_ejection_ms: Millis = 5_000
+    max_ejection_ms: Millis = 120_000
     max_share: float = 0.4
 
 
 _RATE_SMOOTHING = 0.1
-_FADING: Millis = 2_000
+_FAILURE_RATE_DECAY_MS: Millis = 2_000
 
 
 @dataclass(slots=True)
 class _Health:
-    """What this node has seen of one endpoint."""
+    """Outcomes that this node has observed at one endpoint."""
 
-    in_a_row: int = 0
-    rate: float = 0.0
-    failed: Millis = 0
+    consecutive_failures: int = 0
+    failure_rate: float = 0.0
+    last_failure_at: Millis = 0
     samples: int = 0
-    times: int = 0
+    ejection_count: int = 0
     on_probation: bool = False
 
 
 @dataclass(slots=True)
 class Ejector:
-    """Health of the endpoints of one pool and those ejected.
+    """Tracks the health of a pool's endpoints, and which of them are ejected.
 
     Parameters
     ----------
     policy : EjectionPolicy
-        When and for how long.
+        Thresholds and durations.
     """
 
     policy: EjectionPolicy
     _health: dict[str, _Health] = field(default_factory=dict)
-    _until: dict[str, Millis] = field(default_factory=dict)
+    _ejected_until: dict[str, Millis] = field(default_factory=dict)
 
     @property
     def ejected(self) -> frozenset[str]:
-        """Endpoints that are left out."""
-        return frozenset(self._until)
+        """Endpoints that are ejected at present."""
+        return frozenset(self._ejected_until)
 
     @property
-    def next_return(self) -> Millis | None:
-        """When the next endpoint comes back."""
-        return min(self._until.values(), default=None)
+    def next_end(self) -> Millis | None:
+        """When the next ejection ends."""
+        return min(self._ejected_until.values(), default=None)
 
     def is_ejected(self, endpoint: str) -> bool:
-        """Whether ``endpoint`` is left out."""
-        return endpoint in self._until
+        """Whether ``endpoint`` is ejected at present."""
+        return endpoint in self._ejected_until
 
     def failure_rate(self, endpoint: str, now: Millis) -> float:
         """Return the smoothed share of failures, between 0 and 1.
 
-        It fades with time. An endpoint avoided for its failures gets no
-        requests, so nothing else would ever show that it has recovered; seen
-        as a healthy endpoint that idles after one chance failure.
+        The rate decays with time. An endpoint that is avoided because of its failures
+        gets no requests that could show its recovery. Without the decay, a healthy
+        endpoint would stay idle after one accidental failure.
         """
         health = self._health.get(endpoint)
-        if health is None or health.rate == 0.0:
+        if health is None or health.failure_rate == 0.0:
             return 0.0
-        return health.rate * exp((health.failed - now) / _FADING)
+        return health.failure_rate * exp(
+            (health.last_failure_at - now) / _FAILURE_RATE_DECAY_MS
+        )
 
-    def observe_success(self, endpoint: str) -> None:
-        """Note a good answer."""
+    def record_success(self, endpoint: str) -> None:
+        """Record a successful attempt."""
         health = self._health.setdefault(endpoint, _Health())
-        health.in_a_row = 0
-        health.rate -= _RATE_SMOOTHING * health.rate
+        health.consecutive_failures = 0
+        health.failure_rate -= _RATE_SMOOTHING * health.failure_rate
         health.samples += 1
         health.on_probation = False
-        if health.rate < _RATE_SMOOTHING and health.samples > self.policy.min_samples:
-            health.times = 0
+        if (
+            health.failure_rate < _RATE_SMOOTHING
+            and health.samples > self.policy.min_samples
+        ):
+            health.ejection_count = 0
 
-    def observe_failure(
+    def record_failure(
         self, endpoint: str, pool_size: int, now: Millis
     ) -> Ejected | None:
-        """Note a failure; eject the endpoint if it was one too many."""
+        """Record a failure, and eject the endpoint if a threshold is reached."""
         health = self._health.setdefault(endpoint, _Health())
-        health.in_a_row += 1
-        health.failed = now
-        health.rate += _RATE_SMOOTHING * (1.0 - health.rate)
+        health.consecutive_failures += 1
+        health.last_failure_at = now
+        health.failure_rate += _RATE_SMOOTHING * (1.0 - health.failure_rate)
         health.samples += 1
         if not self._is_failing(health):
             return None
@@ -127,37 +132,39 @@
     def eject(
         self, endpoint: str, cause: EjectionCause, pool_size: int, now: Millis
     ) -> Ejected | None:
-        """Eject the endpoint unless the pool's cap is reached."""
-        # Without the cap a fault that strikes everywhere, such as a bad
-        # prompt or a slow store, would eject one endpoint after the other.
-        # Seen as an empty pool while every engine runs.
-        if len(self._until) >= int(self.policy.max_share * pool_size):
+        """Eject the endpoint unless the maximum share is ejected already."""
+        # Without this limit, a fault that affects all endpoints, such as a bad prompt
+        # or a slow store, would eject one endpoint after the other until the pool is
+        # empty although every engine runs.
+        if len(self._ejected_until) >= int(self.policy.max_share * pool_size):
             return None
-        if endpoint in self._until:
+        if endpoint in self._ejected_until:
             return None
         health = self._health.setdefault(endpoint, _Health())
-        term = self.policy.base_term << min(health.times, 16)
-        until = now + min(term, self.policy.longest_term)
-        self._until[endpoint] = until
-        self._health[endpoint] = _Health(times=health.times + 1, on_probation=True)
+        ejection_ms = self.policy.base_ejection_ms << min(health.ejection_count, 16)
+        until = now + min(ejection_ms, self.policy.max_ejection_ms)
+        self._ejected_until[endpoint] = until
+        self._health[endpoint] = _Health(
+            ejection_count=health.ejection_count + 1, on_probation=True
+        )
         return Ejected(endpoint, cause, until)
 
-    def returned(self, now: Millis) -> list[str]:
-        """Let those come back whose term is over, and name them."""
-        back = [name for name, until in self._until.items() if until <= now]
-        for name in back:
-            del self._until[name]
-        return back
+    def readmit_due(self, now: Millis) -> list[str]:
+        """Readmit the endpoints whose ejection has ended, and return their names."""
+        due = [name for name, until in self._ejected_until.items() if until <= now]
+        for name in due:
+            del self._ejected_until[name]
+        return due
 
     def forget(self, endpoint: str) -> None:
-        """Drop all that is known of an endpoint that is gone."""
+        """Discard the state of an endpoint that has been removed."""
         self._health.pop(endpoint, None)
-        self._until.pop(endpoint, None)
+        self._ejected_until.pop(endpoint, None)
 
     def _is_failing(self, health: _Health) -> bool:
         if health.on_probation:
             return True
-        if health.in_a_row >= self.policy.consecutive_failures:
+        if health.consecutive_failures >= self.policy.consecutive_failures:
             return True
-        enough = health.samples >= self.policy.min_samples
-        return enough and health.rate >= self.policy.failure_rate
+        has_enough_samples = health.samples >= self.policy.min_samples
+        return has_enough_samples and health.failure_rate >= self.policy.failure_rate
--- a/src/azurefold/core/routing/ejection_causes.py
+++ b/src/azurefold/core/routing/ejection_causes.py
@@ -1,4 +1,4 @@
-"""Which endpoints are slow or stuck, judged beside the others of the pool."""
+"""Detects slow and stuck endpoints by comparison with the rest of the pool."""
 
 from collections.abc import Iterable
 from statistics import median
@@ -8,35 +8,41 @@
 from azurefold.core.routing.endpoint import Endpoint
 from azurefold.core.routing.messages import EjectionCause
 
-__all__ = ["cause_to_eject", "median_pace"]
+__all__ = ["find_ejection_cause", "median_token_interval"]
 
 
-def median_pace(endpoints: Iterable[Endpoint], unknown: float) -> float:
-    """Return the median milliseconds between tokens, or ``unknown``."""
-    paces = [one.pace for one in endpoints if one.pace is not None]
-    return median(paces) if paces else unknown
+def median_token_interval(endpoints: Iterable[Endpoint], default: float) -> float:
+    """Return the median milliseconds between tokens, or ``default`` without data."""
+    intervals = [
+        endpoint.token_interval
+        for endpoint in endpoints
+        if endpoint.token_interval is not None
+    ]
+    return median(intervals) if intervals else default
 
 
-def cause_to_eject(
-    endpoint: Endpoint, usual: float, policy: EjectionPolicy, now: Millis
+def find_ejection_cause(
+    endpoint: Endpoint, usual_interval: float, policy: EjectionPolicy, now: Millis
 ) -> EjectionCause | None:
-    """Return why ``endpoint`` should be ejected, if it should.
+    """Return the cause for which ``endpoint`` should be ejected, if there is one.
 
     Parameters
     ----------
     endpoint : Endpoint
-        The one that is judged.
-    usual : float
-        Milliseconds between tokens that are usual in its pool.
+    usual_interval : float
+        Median milliseconds between tokens in the endpoint's pool.
     policy : EjectionPolicy
-        The bounds.
+        Thresholds for slow and stuck endpoints.
     now : int
         The present time.
     """
-    if endpoint.silent_for(now) >= policy.stuck_after:
+    if endpoint.time_without_progress(now) >= policy.stuck_after_ms:
         return EjectionCause.STUCK
-    if endpoint.pace is None or endpoint.pace_samples < policy.min_samples:
+    if (
+        endpoint.token_interval is None
+        or endpoint.token_interval_samples < policy.min_samples
+    ):
         return None
-    if endpoint.pace > policy.slow_ratio * usual:
+    if endpoint.token_interval > policy.slow_ratio * usual_interval:
         return EjectionCause.SLOW
     return None
--- a/src/azurefold/core/routing/endpoint.py
+++ b/src/azurefold/core/routing/endpoint.py
@@ -1,4 +1,4 @@
-"""What this node knows of one endpoint's load and speed."""
+"""State of one endpoint: its load and its speed, as this node knows them."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -11,31 +11,31 @@
 
 __all__ = ["Attempt", "DividedSlots", "Endpoint", "ExchangedLoads", "Sharing"]
 
-_HISTORY: Millis = 10_000
-_HISTORY_LENGTH = 512
-_REPORT_HORIZON: Millis = 3_000
-_PACE_SMOOTHING = 0.15
+_HISTORY_MS: Millis = 10_000
+_MAX_HISTORY_LENGTH = 512
+_REPORT_DECAY_MS: Millis = 3_000
+_TOKEN_INTERVAL_SMOOTHING = 0.15
 _DEFAULT_SLOTS = 16
-_KEPT_FREE = 2
+_RESERVED_SLOTS = 2
 
 
 @dataclass(frozen=True, slots=True)
 class DividedSlots:
-    """Nodes hear of each other's load late: each keeps to a share of the slots."""
+    """Nodes learn of each other's load late, so each has a share of the slots."""
 
 
 @dataclass(frozen=True, slots=True)
 class ExchangedLoads:
-    """Nodes tell each other their loads within a fraction of a second.
+    """Nodes exchange their loads within a fraction of a second.
 
     Parameters
     ----------
-    beyond_slots : int
-        Requests that an endpoint may have beyond its slots, so that one is
-        there when another ends.
+    extra_requests : int
+        Requests that an endpoint may have beyond its slots, so that the next one is
+        already there when another ends.
     """
 
-    beyond_slots: int = 0
+    extra_requests: int = 0
 
 
 Sharing = DividedSlots | ExchangedLoads
@@ -45,31 +45,31 @@
 class Attempt:
     """One attempt in flight."""
 
-    started: Millis
+    started_at: Millis
     prefixes: tuple[Prefix, ...]
     prefill: float
-    first_token: Millis | None = None
+    first_token_at: Millis | None = None
 
 
 @dataclass(slots=True)
 class Endpoint:
-    """Own attempts, the last report and the speed of one endpoint.
+    """This node's attempts, the last load report and the speed of one endpoint.
 
     Parameters
     ----------
     name : str
         The endpoint's name.
     concurrency : ConcurrencyLimit
-        How many requests this node keeps there.
+        Limit on this node's requests in flight.
     sharing : Sharing
-        How nodes share its slots.
+        How nodes share the endpoint's slots.
     distance : int
-        Milliseconds of waiting that a nearer endpoint is worth.
-    doubted : bool
-        Whether its group seems to stand still.
-    most : int or None
-        Requests that it may have from all nodes, so that its group's passes stay
-        short; None for as many as it has slots.
+        Milliseconds added to the expected wait, so that nearer endpoints are preferred.
+    is_suspected : bool
+        Whether the endpoint's group is possibly stalled.
+    max_requests : int or None
+        Largest number of requests from all nodes, which keeps the passes of the
+        endpoint's group short; None if only the slots limit them.
     """
 
     name: str
@@ -77,172 +77,185 @@
     sharing: Sharing = DividedSlots()
     distance: Millis = 0
     attempts: dict[str, Attempt] = field(default_factory=dict)
-    awaiting: dict[str, Millis] = field(default_factory=dict)
-    share: int = _DEFAULT_SLOTS
-    counted_room: int = 0
-    counted_capacity: int = 0
-    is_counted: bool = False
-    leaving: bool = False
+    awaiting_first_token: dict[str, Millis] = field(default_factory=dict)
+    slot_share: int = _DEFAULT_SLOTS
+    included_room: int = 0
+    included_capacity: int = 0
+    is_included: bool = False
+    is_leaving: bool = False
     is_suspected: bool = False
-    most: int | None = None
+    max_requests: int | None = None
     slots: int = _DEFAULT_SLOTS
-    others: float = 0.0
-    reported: Millis | None = None
-    pace: float | None = None
-    pace_samples: int = 0
-    last_progress: Millis = 0
-    _nodes: int = 1
-    _position: int = 0
+    peer_requests: float = 0.0
+    measured_at: Millis | None = None
+    token_interval: float | None = None
+    token_interval_samples: int = 0
+    last_progress_at: Millis = 0
+    _node_count: int = 1
+    _node_position: int = 0
     _history: deque[tuple[Millis, int]] = field(
-        default_factory=lambda: deque(maxlen=_HISTORY_LENGTH)
+        default_factory=lambda: deque(maxlen=_MAX_HISTORY_LENGTH)
     )
 
     @property
     def in_flight(self) -> int:
-        """Attempts of this node that have not ended."""
+        """Number of this node's attempts that have not ended."""
         return len(self.attempts)
 
     @property
     def capacity(self) -> int:
-        """How many attempts this node may keep in flight there.
+        """Number of attempts that this node may have in flight.
 
-        Its share of the engine's slots, and half of what the other nodes
-        leave unused of theirs by the last report, but for two slots. Without
-        the share, a node would find no room beside busy others. If each took
-        all that seems unused, the nodes would together overfill the engine
-        while reports lag; seen as confirmations that wait in its queue.
+        With divided slots, this is the node's share, plus half of the slots that the
+        last report shows as unused by other nodes, less two reserved slots. Without a
+        share, a node would find no room beside busy nodes. If each node used all slots
+        that seem unused, the nodes would together overfill the engine while reports
+        are late, and confirmations would wait in its queue.
 
-        Where loads are exchanged at once, all that the others leave is room.
+        With exchanged loads, it is all that the other nodes leave unused.
         """
         match self.sharing:
-            case ExchangedLoads(beyond_slots=beyond):
-                usual = self.slots + beyond
-                most = usual if self.most is None else min(usual, self.most)
-                return max(0, most - ceil(self.others))
+            case ExchangedLoads(extra_requests=extra_requests):
+                total = self.slots + extra_requests
+                limit = (
+                    total
+                    if self.max_requests is None
+                    else min(total, self.max_requests)
+                )
+                return max(0, limit - ceil(self.peer_requests))
             case DividedSlots():
                 return self._divided_capacity()
 
     def _divided_capacity(self) -> int:
-        unused = self.slots - int(self.others) - self.share - _KEPT_FREE
-        return min(self.concurrency.limit, self.share + max(0, unused // 2))
+        unused = (
+            self.slots - int(self.peer_requests) - self.slot_share - _RESERVED_SLOTS
+        )
+        return min(self.concurrency.limit, self.slot_share + max(0, unused // 2))
 
     @property
     def room(self) -> int:
-        """How many more this node may send."""
+        """Number of further attempts that this node may send."""
         return max(0, self.capacity - len(self.attempts))
 
     @property
     def has_room(self) -> bool:
-        """Whether this node may send one more."""
+        """Whether this node may send another attempt."""
         return len(self.attempts) < self.capacity
 
-    def share_slots(self, nodes: int, position: int) -> None:
-        """Set this node's share of the slots among ``nodes`` nodes.
+    def share_slots(self, node_count: int, position: int) -> None:
+        """Set this node's share of the slots among ``node_count`` nodes.
 
-        What does not divide evenly goes to other nodes at each endpoint.
+        The remainder of the division goes to different nodes at each endpoint.
         """
-        self._nodes = nodes
-        self._position = position
-        even, rest = divmod(self.slots, nodes)
-        place = (position + crc32(self.name.encode())) % nodes
-        self.share = max(1, even + (place < rest))
+        self._node_count = node_count
+        self._node_position = position
+        even_share, remainder = divmod(self.slots, node_count)
+        place = (position + crc32(self.name.encode())) % node_count
+        self.slot_share = max(1, even_share + (place < remainder))
 
     def set_slots(self, slots: int) -> None:
-        """Take in how many requests the engine runs in one batch."""
+        """Set how many requests the engine runs in one batch."""
         self.slots = slots
-        self.share_slots(self._nodes, self._position)
+        self.share_slots(self._node_count, self._node_position)
 
-    def start(self, attempt_id: str, attempt: Attempt) -> None:
-        """Add an attempt; a repeated one changes nothing."""
+    def add_attempt(self, attempt_id: str, attempt: Attempt) -> None:
+        """Add an attempt; a known one changes nothing."""
         if attempt_id in self.attempts:
             return
         self.attempts[attempt_id] = attempt
-        self.awaiting[attempt_id] = attempt.started
-        self._remember(attempt.started)
+        self.awaiting_first_token[attempt_id] = attempt.started_at
+        self._record_count(attempt.started_at)
 
-    def end(self, attempt_id: str, now: Millis) -> Attempt | None:
-        """Take an attempt out; ``None`` if it is not, or no longer, known."""
+    def remove_attempt(self, attempt_id: str, now: Millis) -> Attempt | None:
+        """Remove and return an attempt; ``None`` if it is not known, or no longer."""
         attempt = self.attempts.pop(attempt_id, None)
         if attempt is None:
             return None
-        self.awaiting.pop(attempt_id, None)
-        self._remember(now)
+        self.awaiting_first_token.pop(attempt_id, None)
+        self._record_count(now)
         return attempt
 
-    def take_over(self, former: "Endpoint") -> None:
-        """Go on with the attempts that ``former``, the same endpoint, still has."""
+    def adopt_attempts(self, former: "Endpoint") -> None:
+        """Adopt the attempts of ``former``, an earlier entry for the same endpoint."""
         self.attempts = former.attempts
-        self.awaiting = former.awaiting
+        self.awaiting_first_token = former.awaiting_first_token
         self._history = former._history
 
-    def report(self, report: LoadReport, now: Millis) -> None:
-        """Take in a load report, which is old by ``report.age``."""
-        measured = now - report.age
-        # An older report may overtake a newer one on the way.
-        if self.reported is not None and measured < self.reported:
+    def record_load(self, report: LoadReport, now: Millis) -> None:
+        """Apply a load report, which was measured ``report.age`` ago."""
+        measured_at = now - report.age
+        # An older report may arrive after a newer one.
+        if self.measured_at is not None and measured_at < self.measured_at:
             return
-        self.reported = measured
-        # Agents count attempts but do not know the engine's slots. Taken for
-        # a number, their 0 would leave each node one slot; seen as an idle
-        # endpoint in front of a full queue.
+        self.measured_at = measured_at
+        # Agents report 0 slots, as they count attempts but do not know the engine's
+        # slots. If the 0 were used, each node would have one slot, and the endpoint
+        # would be idle while requests are queued.
         if report.slots and report.slots != self.slots:
             self.set_slots(report.slots)
-        # The report counts our own attempts as they were then. Adding our
-        # present ones without taking those out would count them twice.
-        self.others = max(0.0, float(report.in_flight - self._own_at(measured)))
+        # The report includes this node's attempts at that time. They are subtracted
+        # here, because the present ones are added later.
+        self.peer_requests = max(
+            0.0, float(report.in_flight - self._own_attempts_at(measured_at))
+        )
 
-    def fill_up(self) -> None:
-        """Take the endpoint for full until the next report.
+    def mark_full(self) -> None:
+        """Treat the endpoint as full until the next load report.
 
-        It refused a request, so others must have sent it more than is known
-        here. Without this the node would send it the next request as well.
+        A refusal shows that other nodes have sent more requests than this node knows
+        of. Without this, the node would send the next request there as well.
         """
         match self.sharing:
-            case ExchangedLoads(beyond_slots=beyond):
-                full = float(self.slots + beyond - len(self.attempts))
-                self.others = max(self.others, full)
+            case ExchangedLoads(extra_requests=extra_requests):
+                unused = float(self.slots + extra_requests - len(self.attempts))
+                self.peer_requests = max(self.peer_requests, unused)
             case DividedSlots():
                 pass
 
-    def load(self, mean_others: float, now: Millis) -> float:
-        """Return the requests expected there now, from all nodes.
+    def expected_load(self, mean_peer_requests: float, now: Millis) -> float:
+        """Return the estimated number of requests from all nodes at present.
 
-        The older the report, the less it says of this endpoint in particular;
-        the estimate moves to the pool's mean. Without that, every node sends
-        to the endpoint that was idle some seconds ago.
+        With the age of the report, the estimate approaches the pool's mean. Otherwise
+        every node would send to the endpoint that was idle some seconds ago.
         """
-        if self.reported is None:
-            return len(self.attempts) + mean_others
-        trust = exp((self.reported - now) / _REPORT_HORIZON)
-        return len(self.attempts) + mean_others + trust * (self.others - mean_others)
-
-    def observe_pace(self, milliseconds_per_token: float) -> None:
-        """Learn the time between tokens from one answer."""
-        self.pace_samples += 1
-        if self.pace is None:
-            self.pace = milliseconds_per_token
+        if self.measured_at is None:
+            return len(self.attempts) + mean_peer_requests
+        weight = exp((self.measured_at - now) / _REPORT_DECAY_MS)
+        return (
+            len(self.attempts)
+            + mean_peer_requests
+            + weight * (self.peer_requests - mean_peer_requests)
+        )
+
+    def observe_token_interval(self, milliseconds_per_token: float) -> None:
+        """Update the smoothed time between tokens from one response."""
+        self.token_interval_samples += 1
+        if self.token_interval is None:
+            self.token_interval = milliseconds_per_token
             return
-        self.pace += _PACE_SMOOTHING * (milliseconds_per_token - self.pace)
-
-    def forget_pace(self) -> None:
-        """Drop what is known of the speed, after an ejection."""
-        self.pace = None
-        self.pace_samples = 0
-
-    def silent_for(self, now: Millis) -> Millis:
-        """Return how long requests have waited without any progress."""
-        oldest = next(iter(self.awaiting.values()), None)
-        if oldest is None:
+        self.token_interval += _TOKEN_INTERVAL_SMOOTHING * (
+            milliseconds_per_token - self.token_interval
+        )
+
+    def reset_token_interval(self) -> None:
+        """Discard the time between tokens after an ejection."""
+        self.token_interval = None
+        self.token_interval_samples = 0
+
+    def time_without_progress(self, now: Millis) -> Millis:
+        """Return how long attempts have waited for a first token without progress."""
+        oldest_start = next(iter(self.awaiting_first_token.values()), None)
+        if oldest_start is None:
             return 0
-        return now - max(oldest, self.last_progress)
+        return now - max(oldest_start, self.last_progress_at)
 
-    def _remember(self, now: Millis) -> None:
+    def _record_count(self, now: Millis) -> None:
         self._history.append((now, len(self.attempts)))
-        while self._history and self._history[0][0] < now - _HISTORY:
+        while self._history and self._history[0][0] < now - _HISTORY_MS:
             self._history.popleft()
 
-    def _own_at(self, then: Millis) -> int:
-        for changed, count in reversed(self._history):
-            if changed <= then:
+    def _own_attempts_at(self, time: Millis) -> int:
+        for changed_at, count in reversed(self._history):
+            if changed_at <= time:
                 return count
         return 0
--- a/src/azurefold/core/routing/exclusions.py
+++ b/src/azurefold/core/routing/exclusions.py
@@ -1,4 +1,4 @@
-"""Endpoints that get no requests for now, and when they will again."""
+"""Tracks which endpoints are temporarily excluded, and until when."""
 
 from dataclasses import dataclass, field
 
@@ -7,23 +7,25 @@
 
 __all__ = ["Exclusions"]
 
-_OUT_OF_REACH_MS: Millis = 1_000
-"""After a connection was not established in time. Each try takes a caller 400 ms, and
-a data centre that is cut off has a third of all endpoints, so the first failure
-counts; a lost packet keeps one endpoint out of the choice for this long only."""
+_UNREACHABLE_MS: Millis = 1_000
+"""Exclusion of an endpoint after a connection attempt timed out.
+
+Each connection attempt delays a request by 400 ms, and a data centre that is cut off
+has a third of all endpoints, so the first failure already excludes the endpoint. A lost
+packet excludes one endpoint for no longer than this."""
 
 
 @dataclass(slots=True)
 class Exclusions:
-    """Which endpoints of a pool are left out, and until when.
+    """Endpoints of a pool that must not be chosen at present.
 
     Parameters
     ----------
     ejector : Ejector
     paused : frozenset of str
-        Endpoints whose group is down, until told otherwise.
+        Endpoints whose group is down.
     over_quota : dict of str to int
-        Endpoints in need that this node may send nothing, and when to look again.
+        Endpoints whose quota allows no request of this node, and when to check again.
     backing_off : dict of str to int
         Endpoints that requested a backoff from this node, and when it ends.
     """
@@ -32,41 +34,41 @@
     paused: frozenset[str] = frozenset()
     over_quota: dict[str, Millis] = field(default_factory=dict)
     backing_off: dict[str, Millis] = field(default_factory=dict)
-    _out_of_reach: dict[str, Millis] = field(default_factory=dict)
+    _unreachable_until: dict[str, Millis] = field(default_factory=dict)
 
     @property
     def names(self) -> frozenset[str]:
-        """All that are left out."""
-        left_out = self.ejector.ejected | self.paused | self._out_of_reach.keys()
-        return left_out | self.over_quota.keys() | self.backing_off.keys()
+        """All excluded endpoints."""
+        excluded = self.ejector.ejected | self.paused | self._unreachable_until.keys()
+        return excluded | self.over_quota.keys() | self.backing_off.keys()
 
     @property
     def unreachable(self) -> frozenset[str]:
-        """Endpoints to which no connection could be made a moment ago."""
-        return frozenset(self._out_of_reach)
+        """Endpoints to which a connection attempt has recently timed out."""
+        return frozenset(self._unreachable_until)
 
     @property
-    def next_return(self) -> Millis | None:
-        """When the next one comes back by itself."""
-        times = [*self._out_of_reach.values(), *self.over_quota.values()]
-        times += self.backing_off.values()
-        if self.ejector.next_return is not None:
-            times.append(self.ejector.next_return)
-        return min(times, default=None)
+    def next_end(self) -> Millis | None:
+        """When the next exclusion with a known end is over."""
+        end_times = [*self._unreachable_until.values(), *self.over_quota.values()]
+        end_times += self.backing_off.values()
+        if self.ejector.next_end is not None:
+            end_times.append(self.ejector.next_end)
+        return min(end_times, default=None)
 
     def mark_unreachable(self, endpoint: str, now: Millis) -> None:
-        """Note that no connection to an endpoint could be made in time."""
-        self._out_of_reach[endpoint] = now + _OUT_OF_REACH_MS
+        """Exclude an endpoint for a while after a connection attempt timed out."""
+        self._unreachable_until[endpoint] = now + _UNREACHABLE_MS
 
-    def returned(self, now: Millis) -> list[str]:
-        """Let those come back whose time is over, and name them."""
-        back = [name for name, until in self._out_of_reach.items() if until <= now]
-        for name in back:
-            del self._out_of_reach[name]
-        return back + self.ejector.returned(now)
+    def readmit_due(self, now: Millis) -> list[str]:
+        """Readmit the endpoints whose exclusion has ended, and return their names."""
+        due = [name for name, until in self._unreachable_until.items() if until <= now]
+        for name in due:
+            del self._unreachable_until[name]
+        return due + self.ejector.readmit_due(now)
 
     def forget(self, endpoint: str) -> None:
-        """Drop all that is known of an endpoint that is gone."""
-        self._out_of_reach.pop(endpoint, None)
+        """Discard the state of an endpoint that has been removed."""
+        self._unreachable_until.pop(endpoint, None)
         self.over_quota.pop(endpoint, None)
         self.ejector.forget(endpoint)
--- a/src/azurefold/core/routing/members.py
+++ b/src/azurefold/core/routing/members.py
@@ -1,4 +1,4 @@
-"""The endpoints of a pool, those that may be chosen, and sums over them."""
+"""Endpoints of a pool, which of them are eligible, and totals over those."""
 
 from collections.abc import Set
 
@@ -14,16 +14,16 @@
 
 
 class Members:
-    """Endpoints by name, with sums that are kept up at each change.
+    """Endpoints by name, with totals that are updated at each change.
 
-    An endpoint that other nodes send to from now on is kept in ``former`` until this
-    node's attempts there have ended. It still runs them, and goes on with them if it
-    is dealt to this node again.
+    An endpoint that is removed, because it is now assigned to other nodes, is kept in
+    ``former`` until this node's attempts there have ended. If the endpoint is added
+    again, it keeps these attempts.
 
     Parameters
     ----------
     policy : ConcurrencyPolicy
-        For the limit of each new endpoint.
+        Policy for the concurrency limit of each new endpoint.
     sharing : Sharing
         How nodes share the slots of each endpoint.
     """
@@ -31,9 +31,9 @@
     def __init__(self, policy: ConcurrencyPolicy, sharing: Sharing = _DIVIDED) -> None:
         self._policy = policy
         self._sharing = sharing
-        self._others = 0.0
-        self._nodes = 1
-        self._position = 0
+        self._peer_requests = 0.0
+        self._node_count = 1
+        self._node_position = 0
         self._slots: int | None = None
         self.by_name: dict[str, Endpoint] = {}
         self.former: dict[str, Endpoint] = {}
@@ -42,109 +42,116 @@
         self.capacity = 0
 
     @property
-    def mean_others(self) -> float:
-        """Requests of other nodes at an endpoint, on average."""
-        return self._others / max(1, len(self.by_name))
-
-    def replace(self, names: frozenset[str], now: Millis) -> list[str]:
-        """Take in the present names; return those that are gone."""
-        gone = sorted(self.by_name.keys() - names)
-        for name in gone:
+    def mean_peer_requests(self) -> float:
+        """Mean number of requests of other nodes at an endpoint."""
+        return self._peer_requests / max(1, len(self.by_name))
+
+    def set_names(self, names: frozenset[str], now: Millis) -> list[str]:
+        """Replace the set of endpoints; return the names of those removed."""
+        removed = sorted(self.by_name.keys() - names)
+        for name in removed:
             endpoint = self.by_name.pop(name)
-            endpoint.is_counted = False
+            endpoint.is_included = False
             if endpoint.attempts:
                 self.former[name] = endpoint
         for name in sorted(names - self.by_name.keys()):
             limit = ConcurrencyLimit(self._policy)
-            endpoint = Endpoint(name, limit, self._sharing, last_progress=now)
+            endpoint = Endpoint(name, limit, self._sharing, last_progress_at=now)
             if name in self.former:
-                endpoint.take_over(self.former.pop(name))
-            endpoint.share_slots(self._nodes, self._position)
-            self._bound(endpoint)
+                endpoint.adopt_attempts(self.former.pop(name))
+            endpoint.share_slots(self._node_count, self._node_position)
+            self._apply_slots(endpoint)
             self.by_name[name] = endpoint
-        self._others = sum(one.others for one in self.by_name.values())
-        return gone
+        self._peer_requests = sum(
+            endpoint.peer_requests for endpoint in self.by_name.values()
+        )
+        return removed
 
-    def with_attempts(self, name: str) -> Endpoint | None:
-        """Return an endpoint that this node may have attempts at; None if unknown."""
+    def find(self, name: str) -> Endpoint | None:
+        """Return a present or former endpoint; None if it is unknown."""
         return self.by_name.get(name) or self.former.get(name)
 
-    def ended(self, endpoint: Endpoint) -> None:
-        """Note that an attempt has ended, and forget a former endpoint without any."""
+    def record_end(self, endpoint: Endpoint) -> None:
+        """Update the state after the end of an attempt at ``endpoint``.
+
+        A former endpoint without attempts is discarded.
+        """
         if self.by_name.get(endpoint.name) is endpoint:
-            self.recount(endpoint)
+            self.update_totals(endpoint)
         elif not endpoint.attempts:
             self.former.pop(endpoint.name, None)
 
-    def share_slots(self, nodes: int, position: int) -> None:
-        """Divide the slots of all endpoints between ``nodes`` nodes."""
-        self._nodes = max(1, nodes)
-        self._position = position
+    def share_slots(self, node_count: int, position: int) -> None:
+        """Divide the slots of all endpoints between ``node_count`` nodes."""
+        self._node_count = max(1, node_count)
+        self._node_position = position
         for endpoint in self.by_name.values():
-            endpoint.share_slots(self._nodes, position)
-            self.recount(endpoint)
+            endpoint.share_slots(self._node_count, position)
+            self.update_totals(endpoint)
 
     def set_slots(self, slots: int) -> None:
-        """Take in the operators' bound on the requests at each endpoint."""
+        """Set the configured number of slots of each endpoint."""
         self._slots = slots
         for endpoint in self.by_name.values():
-            self._bound(endpoint)
-            self.recount(endpoint)
-
-    def report(self, endpoint: Endpoint, report: LoadReport, now: Millis) -> None:
-        """Take in a load report."""
-        before = endpoint.others
-        endpoint.report(report, now)
-        self._others += endpoint.others - before
-        self.recount(endpoint)
-
-    def select(self, ejected: Set[str]) -> None:
-        """Work out anew which endpoints may be chosen."""
+            self._apply_slots(endpoint)
+            self.update_totals(endpoint)
+
+    def record_load(self, endpoint: Endpoint, report: LoadReport, now: Millis) -> None:
+        """Apply a load report."""
+        previous = endpoint.peer_requests
+        endpoint.record_load(report, now)
+        self._peer_requests += endpoint.peer_requests - previous
+        self.update_totals(endpoint)
+
+    def update_eligible(self, excluded: Set[str]) -> None:
+        """Recompute which endpoints may be chosen, and the totals over them."""
         self.room = self.capacity = 0
         for endpoint in self.by_name.values():
-            endpoint.is_counted = False
+            endpoint.is_included = False
         self.eligible = [
             endpoint
             for endpoint in self.by_name.values()
-            if not endpoint.leaving and endpoint.name not in ejected
+            if not endpoint.is_leaving and endpoint.name not in excluded
         ]
         for endpoint in self.eligible:
-            endpoint.is_counted = True
-            endpoint.counted_room = endpoint.counted_capacity = 0
-            self.recount(endpoint)
-
-    def why_none(self, exclude: Set[str], absences: Exclusions) -> Unavailable:
-        """Return why no endpoint outside ``exclude`` can be chosen."""
+            endpoint.is_included = True
+            endpoint.included_room = endpoint.included_capacity = 0
+            self.update_totals(endpoint)
+
+    def unavailable_reason(
+        self, exclude: Set[str], exclusions: Exclusions
+    ) -> Unavailable:
+        """Return the reason why no endpoint outside ``exclude`` can be chosen."""
         if not self.by_name:
             return Unavailable.NO_ENDPOINTS
-        if self.by_name.keys() <= absences.paused:
+        if self.by_name.keys() <= exclusions.paused:
             return Unavailable.GROUPS_DOWN
-        if self.by_name.keys() <= absences.paused | absences.unreachable:
+        if self.by_name.keys() <= exclusions.paused | exclusions.unreachable:
             return Unavailable.OUT_OF_REACH
-        if all(endpoint.leaving for endpoint in self.by_name.values()):
+        if all(endpoint.is_leaving for endpoint in self.by_name.values()):
             return Unavailable.ALL_LEAVING
-        if not self.eligible and absences.over_quota:
+        if not self.eligible and exclusions.over_quota:
             return Unavailable.OVER_QUOTA
-        if not self.eligible and absences.backing_off:
+        if not self.eligible and exclusions.backing_off:
             return Unavailable.BACKING_OFF
         if all(endpoint.name in exclude for endpoint in self.eligible):
             return Unavailable.ALL_EXCLUDED
         return Unavailable.ALL_FULL
 
-    def recount(self, endpoint: Endpoint) -> None:
-        """Bring the sums up to date after a change of ``endpoint``."""
-        # The sums are kept up, not worked out for each request: with 390
-        # endpoints that would take longer than all the rest of the decision.
-        if not endpoint.is_counted:
+    def update_totals(self, endpoint: Endpoint) -> None:
+        """Update the totals after a change of ``endpoint``."""
+        # Updated incrementally: with 390 endpoints, computing the totals for each
+        # request would take longer than the rest of the routing decision.
+        if not endpoint.is_included:
             return
         room = endpoint.room
         capacity = endpoint.capacity
-        self.room += room - endpoint.counted_room
-        self.capacity += capacity - endpoint.counted_capacity
-        endpoint.counted_room = room
-        endpoint.counted_capacity = capacity
+        self.room += room - endpoint.included_room
+        self.capacity += capacity - endpoint.included_capacity
+        endpoint.included_room = room
+        endpoint.included_capacity = capacity
 
-    def _bound(self, endpoint: Endpoint) -> None:
+    def _apply_slots(self, endpoint: Endpoint) -> None:
         if self._slots is not None:
             endpoint.set_slots(self._slots)
-            endpoint.concurrency.set_largest(self._slots)
+            endpoint.concurrency.set_max_limit(self._slots)
--- a/src/azurefold/core/routing/messages.py
+++ b/src/azurefold/core/routing/messages.py
@@ -1,4 +1,4 @@
-"""What the router is told and what it answers."""
+"""Inputs and results of routing decisions."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -31,7 +31,7 @@
     Parameters
     ----------
     hash : int
-        Hash of the prefix as the engines' cache events name it.
+        Hash of the prefix, as in the engines' cache events.
     tokens : int
         Its length in tokens.
     """
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteRequest:
-    """What the choice of an endpoint depends on.
+    """Properties of a request on which the choice of an endpoint depends.
 
     Parameters
     ----------
@@ -51,12 +51,12 @@
     prompt_tokens : int, default=0
         Length of the whole prompt in tokens.
     exclude : frozenset of str, default=frozenset()
-        Endpoints that a retry must not go back to.
+        Endpoints that a retry must not use again.
     may_queue : bool, default=False
-        Whether it may wait in an endpoint's own queue where all places are taken.
+        Whether it may wait in an endpoint's own queue if no endpoint has room.
     is_contended : bool, default=False
-        Whether other nodes choose at this moment, too: the emptiest endpoint would be
-        chosen by all of them.
+        Whether other nodes are choosing at the same moment. They would all choose the
+        least loaded endpoint, so the choice is then random.
     """
 
     prefixes: tuple[Prefix, ...] = ()
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Chosen:
-    """The endpoint a request goes to, and the tokens it is hoped to have cached."""
+    """Endpoint for a request, and the prompt tokens that it has probably cached."""
 
     endpoint: str
     cached_tokens: int = 0
@@ -89,7 +89,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NoneAvailable:
-    """No endpoint may take the request now; ``retry_after_ms`` is spread out."""
+    """No endpoint is available at present; ``retry_after_ms`` is randomised."""
 
     reason: Unavailable
     retry_after_ms: Millis
@@ -97,14 +97,14 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What an endpoint says about itself.
+    """Load of an endpoint, as it reports it.
 
     Parameters
     ----------
     in_flight : int
         Requests running or waiting in the engine, from all nodes.
     slots : int
-        Requests the engine runs in one batch; 0 if the report does not say.
+        Requests that the engine runs in one batch; 0 if the report does not include it.
     age : int, default=0
         Milliseconds between the measurement and its arrival here.
     """
@@ -116,36 +116,36 @@
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """The whole answer came; ``tokens`` is its length."""
+    """The answer was received completely; ``tokens`` is its length."""
 
     tokens: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """The endpoint reported an error or its process is gone."""
+    """The endpoint reported an error, or its process has ended."""
 
 
 @dataclass(frozen=True, slots=True)
 class TimedOut:
-    """The endpoint gave no answer in time."""
+    """The endpoint did not answer in time."""
 
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """The endpoint would not run the request (full, or leaving)."""
+    """The endpoint refused the request because it is full or leaving."""
 
 
 @dataclass(frozen=True, slots=True)
 class Cancelled:
-    """The caller gave up, or the connection went silent; says nothing of health."""
+    """The caller cancelled, or the connection stalled; no evidence of a fault."""
 
 
 @dataclass(frozen=True, slots=True)
 class Misdirected:
-    """The endpoint is not the one it was taken for, or cannot serve as it is.
+    """The request reached the wrong endpoint, or one that cannot serve at all.
 
-    It ran nothing and will refuse the next request as well, whatever its load.
+    The endpoint did not run it, and will refuse the next one too, whatever its load.
     """
 
 
@@ -153,7 +153,7 @@
 
 
 class EjectionCause(Enum):
-    """What an endpoint was ejected for."""
+    """Reason for the ejection of an endpoint."""
 
     FAILING = "failing"
     SLOW = "slow"
@@ -163,7 +163,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ejected:
-    """An endpoint is left out of the choice until ``until``."""
+    """An endpoint is excluded until ``until``."""
 
     endpoint: str
     cause: EjectionCause
--- a/src/azurefold/core/routing/peer_loads.py
+++ b/src/azurefold/core/routing/peer_loads.py
@@ -1,4 +1,4 @@
-"""Loads that the other nodes tell of themselves, summed by endpoint."""
+"""Sums the loads that other nodes report, by endpoint."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -8,33 +8,35 @@
 
 __all__ = ["LoadDigest", "PeerLoads", "endpoint_hash"]
 
-_SILENT_AFTER_MS: Millis = 1_500
-"""A node tells at least twice a second; three lost messages in a row are rare,
-and the requests of a node that is gone end within seconds."""
+_EXPIRY_MS: Millis = 1_500
+"""Time without a digest after which a node's load no longer counts.
+
+Nodes send at least two digests per second, and three lost messages in a row are rare.
+The requests of a node that has stopped end within seconds."""
 
 
 def endpoint_hash(endpoint: str) -> int:
-    """Return a number that stands for an endpoint's name, to save bytes."""
+    """Return the hash of an endpoint's name, which is shorter in messages."""
     return crc32(endpoint.encode())
 
 
 @dataclass(frozen=True, slots=True)
 class LoadDigest:
-    """One node's requests in flight.
+    """Requests of one node in flight.
 
     Parameters
     ----------
     node : str
     incarnation : int
-        Of the node's process.
+        Incarnation of the node's process.
     sequence : int
-        Rises with each digest of one incarnation.
+        Increases with each digest of one incarnation.
     loads : mapping of int to int
-        By :func:`endpoint_hash`; endpoints without requests are left out.
+        Requests by :func:`endpoint_hash`; endpoints without requests are omitted.
     has_callers : bool
-        Whether it has had requests lately, also such as it refused.
+        Whether the node has recently received requests, refused ones included.
     is_waiting : bool
-        Whether requests wait there for a place at an endpoint.
+        Whether requests are queued received_at the node because no endpoint has room.
     """
 
     node: str
@@ -46,75 +48,77 @@
 
 
 @dataclass(slots=True)
-class _Heard:
-    at: Millis
+class _ReceivedDigest:
+    received_at: Millis
     digest: LoadDigest
 
 
 @dataclass(slots=True)
 class PeerLoads:
-    """The last digest of each node, and their sums."""
+    """Last digest of each node, and the sums of their loads."""
 
-    _heard: dict[str, _Heard] = field(default_factory=dict)
+    _received: dict[str, _ReceivedDigest] = field(default_factory=dict)
     _sums: dict[int, int] = field(default_factory=dict)
 
     @property
     def nodes(self) -> frozenset[str]:
-        """Other nodes that are heard."""
-        return frozenset(self._heard)
+        """Other nodes whose last digest has not expired."""
+        return frozenset(self._received)
 
     def requests_at(self, endpoint: str) -> int:
-        """Return the requests of all other nodes at an endpoint."""
+        """Return the number of requests of all other nodes at an endpoint."""
         return self._sums.get(endpoint_hash(endpoint), 0)
 
     def receive(self, digest: LoadDigest, now: Millis) -> bool:
-        """Take in a digest; return whether it is newer than the last."""
-        known = self._heard.get(digest.node)
+        """Apply a digest; return whether it is newer than the node's last one."""
+        known = self._received.get(digest.node)
         if known is not None and _is_older(digest, known.digest):
             return False
         if known is not None:
             self._add(known.digest.loads, -1)
-        self._heard[digest.node] = _Heard(now, digest)
+        self._received[digest.node] = _ReceivedDigest(now, digest)
         self._add(digest.loads, 1)
         return True
 
     @property
     def nodes_with_callers(self) -> frozenset[str]:
-        """Other nodes that have had requests lately."""
+        """Other nodes that have recently received requests."""
         return frozenset(
-            node for node, heard in self._heard.items() if heard.digest.has_callers
+            node
+            for node, received in self._received.items()
+            if received.digest.has_callers
         )
 
     @property
     def waiting_node_count(self) -> int:
-        """How many other nodes have requests that wait."""
-        return sum(heard.digest.is_waiting for heard in self._heard.values())
+        """Number of other nodes that have queued requests."""
+        return sum(received.digest.is_waiting for received in self._received.values())
 
     def move_to(self, node: str, other: "PeerLoads") -> None:
-        """Let ``other`` have what a node has told, if it has told anything."""
-        heard = self._heard.pop(node, None)
-        if heard is not None:
-            self._add(heard.digest.loads, -1)
-            other.receive(heard.digest, heard.at)
+        """Move the last digest of ``node``, if there is one, to ``other``."""
+        received = self._received.pop(node, None)
+        if received is not None:
+            self._add(received.digest.loads, -1)
+            other.receive(received.digest, received.received_at)
 
     def expire(self, now: Millis) -> list[str]:
-        """Drop nodes that have fallen silent, and name them."""
-        silent = [
+        """Remove nodes whose last digest has expired, and return their names."""
+        expired = [
             node
-            for node, heard in self._heard.items()
-            if now - heard.at >= _SILENT_AFTER_MS
+            for node, received in self._received.items()
+            if now - received.received_at >= _EXPIRY_MS
         ]
-        for node in silent:
-            self._add(self._heard.pop(node).digest.loads, -1)
-        return silent
+        for node in expired:
+            self._add(self._received.pop(node).digest.loads, -1)
+        return expired
 
     def _add(self, loads: Mapping[int, int], sign: int) -> None:
-        for mark, load in loads.items():
-            total = self._sums.get(mark, 0) + sign * load
+        for name_hash, load in loads.items():
+            total = self._sums.get(name_hash, 0) + sign * load
             if total > 0:
-                self._sums[mark] = total
+                self._sums[name_hash] = total
             else:
-                self._sums.pop(mark, None)
+                self._sums.pop(name_hash, None)
 
 
 def _is_older(digest: LoadDigest, known: LoadDigest) -> bool:
--- a/src/azurefold/core/routing/policy.py
+++ b/src/azurefold/core/routing/policy.py
@@ -1,4 +1,4 @@
-"""The policies of one pool, gathered."""
+"""Policies of one pool."""
 
 from dataclasses import dataclass, field
 
@@ -12,15 +12,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PoolPolicy:
-    """The policies of a pool's parts.
+    """Policies for choice, concurrency, ejection and slot sharing of a pool.
 
     Parameters
     ----------
     choice, concurrency, ejection
-        The policies of the parts.
     reserve : float
-        Share of the room kept free of drafts, so that a confirmation need
-        not wait for a slot while drafts overload the pool.
+        Share of the capacity that is reserved for confirmations, so that they need not
+        wait for a slot while drafts overload the pool.
     sharing : Sharing
         How nodes share the slots of one endpoint.
     """
--- a/src/azurefold/core/routing/pool.py
+++ b/src/azurefold/core/routing/pool.py
@@ -1,13 +1,16 @@
-"""The endpoints of one service as one node sees them, and the choice among them."""
+"""Routing of one service's requests on one node: choice of endpoints and ejection."""
 
 from azurefold.core.clock import Millis
 from azurefold.core.routing.choice import (
-    all_with_room,
-    draw_by_room,
     draw_two,
+    draw_weighted_by_room,
+    endpoints_with_room,
     expected_wait,
 )
-from azurefold.core.routing.ejection_causes import cause_to_eject, median_pace
+from azurefold.core.routing.ejection_causes import (
+    find_ejection_cause,
+    median_token_interval,
+)
 from azurefold.core.routing.endpoint import (
     Attempt,
     DividedSlots,
@@ -35,39 +38,39 @@
 __all__ = ["Pool", "PoolPolicy"]
 
 _SECOND_MS = 1_000
-_SHORTEST_RETRY: Millis = 100
-_LONGEST_RETRY: Millis = 2_000
-_LEAST_PACE = 0.01
+_MIN_RETRY_AFTER_MS: Millis = 100
+_MAX_RETRY_AFTER_MS: Millis = 2_000
+_MIN_TOKEN_INTERVAL_MS = 0.01
 _NO_REQUEST = RouteRequest()
 
 
 class Pool(PoolState):
-    """State and decisions of routing for one service on one node.
+    """Chooses endpoints for the requests of one service on one node.
 
     Parameters
     ----------
     policy : PoolPolicy, optional
-        The policies of its parts.
+        Policies for choice, concurrency, ejection and slot sharing.
     """
 
     def choose(
         self, request: RouteRequest, draws: tuple[float, float], now: Millis
     ) -> Chosen | NoneAvailable:
-        """Return the endpoint for ``request``, or why there is none.
+        """Return the endpoint for ``request``, or the reason why there is none.
 
         Parameters
         ----------
         request : RouteRequest
-            What the choice depends on.
+            Properties of the request.
         draws : tuple of float
             Two random numbers in [0, 1).
         now : int
             The present time.
         """
-        if self._next_return is not None and now >= self._next_return:
+        if self._next_check_at is not None and now >= self._next_check_at:
             self._refresh(now)
         best: Chosen | None = None
-        least = float("inf")
+        shortest_wait = float("inf")
         for endpoint in self._candidates(request, draws, now):
             cached = self._hints.cached_tokens(endpoint.name, request.prefixes, now)
             wait = expected_wait(
@@ -78,32 +81,32 @@
                 self._policy.choice,
                 now,
             )
-            if wait < least:
-                least = wait
+            if wait < shortest_wait:
+                shortest_wait = wait
                 best = Chosen(endpoint.name, cached)
         if best is not None:
             return best
-        answer = self._means.pace * self._means.tokens
-        retry_after = int(_SHORTEST_RETRY + answer * (0.5 + draws[1]))
-        reason = self._members.why_none(request.exclude, self._absences)
+        answer_ms = self._means.token_interval * self._means.answer_tokens
+        retry_after = int(_MIN_RETRY_AFTER_MS + answer_ms * (0.5 + draws[1]))
+        reason = self._members.unavailable_reason(request.exclude, self._exclusions)
         if reason is Unavailable.OVER_QUOTA:
-            retry_after = self._quota_return(draws[1])
+            retry_after = self._quota_retry_after(draws[1])
         if reason is Unavailable.BACKING_OFF:
-            retry_after += max(0, self._absences.next_return - now)
+            retry_after += max(0, self._exclusions.next_end - now)
         return NoneAvailable(reason, retry_after)
 
     def can_send(self, endpoint: str, request: RouteRequest) -> bool:
-        """Whether ``request`` may go to a certain endpoint now."""
+        """Whether ``request`` may be sent to ``endpoint`` now."""
         known = self._members.by_name.get(endpoint)
         if known is None or endpoint in request.exclude:
             return False
-        return known.is_counted and known.has_room
+        return known.is_included and known.has_room
 
-    def _quota_return(self, draw: float) -> Millis:
-        """Return when a caller may find an endpoint's quota unused, spread out."""
-        taken = sum(part.quota for part in self._quotas.parts.values())
-        usual = _SECOND_MS / max(taken, _SECOND_MS / _LONGEST_RETRY)
-        return int(_SHORTEST_RETRY + usual * (0.5 + draw))
+    def _quota_retry_after(self, draw: float) -> Millis:
+        """Return a randomised delay after which some quota may be available."""
+        total_rate = sum(share.quota for share in self._quotas.shares.values())
+        interval_ms = _SECOND_MS / max(total_rate, _SECOND_MS / _MAX_RETRY_AFTER_MS)
+        return int(_MIN_RETRY_AFTER_MS + interval_ms * (0.5 + draw))
 
     def record_start(
         self,
@@ -112,135 +115,147 @@
         now: Millis,
         request: RouteRequest = _NO_REQUEST,
     ) -> None:
-        """Note that an attempt was sent."""
+        """Record that an attempt was sent."""
         known = self._members.by_name.get(endpoint)
         if known is None:
             return
         cached = self._hints.cached_tokens(endpoint, request.prefixes, now)
         uncached = max(0, request.prompt_tokens - cached)
         prefill = uncached * self._policy.choice.prefill
-        known.start(attempt_id, Attempt(now, request.prefixes, prefill))
-        self._members.recount(known)
+        known.add_attempt(attempt_id, Attempt(now, request.prefixes, prefill))
+        self._members.update_totals(known)
         if self._quotas.charge_request(endpoint, now):
             self._refresh(now)
 
     def record_first_token(self, endpoint: str, attempt_id: str, now: Millis) -> None:
-        """Note that an attempt's answer has begun; a repeat changes nothing."""
-        known = self._members.with_attempts(endpoint)
+        """Record the first token of an attempt; a repeated call changes nothing."""
+        known = self._members.find(endpoint)
         attempt = known.attempts.get(attempt_id) if known else None
-        if attempt is None or attempt.first_token is not None:
+        if attempt is None or attempt.first_token_at is not None:
             return
-        attempt.first_token = now
-        known.awaiting.pop(attempt_id, None)
-        known.last_progress = now
+        attempt.first_token_at = now
+        known.awaiting_first_token.pop(attempt_id, None)
+        known.last_progress_at = now
         known.concurrency.observe_first_token(
-            now - attempt.started, attempt.prefill, known.in_flight, now
+            now - attempt.started_at, attempt.prefill, known.in_flight, now
         )
-        self._members.recount(known)
-        # It has just computed this prompt, which no cache event told yet.
+        self._members.update_totals(known)
+        # The endpoint has just computed this prompt; its cache event arrives later.
         for prefix in attempt.prefixes:
-            self._hints.cached(endpoint, prefix.hash, now)
+            self._hints.add(endpoint, prefix.hash, now)
 
     def record_end(
         self, endpoint: str, attempt_id: str, outcome: Outcome, now: Millis
     ) -> Ejected | None:
-        """Note how an attempt ended; a repeat changes nothing.
+        """Record the outcome of an attempt; a repeated call changes nothing.
 
         Returns
         -------
         Ejected or None
-            The ejection that this outcome led to.
+            The ejection caused by this outcome.
         """
-        known = self._members.with_attempts(endpoint)
-        attempt = known.end(attempt_id, now) if known else None
+        known = self._members.find(endpoint)
+        attempt = known.remove_attempt(attempt_id, now) if known else None
         if attempt is None:
             return None
         ejected = None
         if endpoint in self._members.by_name:
-            ejected = self._learn_outcome(known, attempt, outcome, now)
-        self._members.ended(known)
+            ejected = self._record_outcome(known, attempt, outcome, now)
+        self._members.record_end(known)
         return ejected
 
-    def _learn_outcome(
+    def _record_outcome(
         self, known: Endpoint, attempt: Attempt, outcome: Outcome, now: Millis
     ) -> Ejected | None:
         match outcome:
             case Answered(tokens):
-                known.last_progress = now
-                self._learn_answer(known, attempt, tokens, now)
-                self._ejector.observe_success(known.name)
+                known.last_progress_at = now
+                self._record_answer(known, attempt, tokens, now)
+                self._ejector.record_success(known.name)
             case Failed() | TimedOut():
-                return self._learn_failure(known, now)
+                return self._record_failure(known, now)
             case Refused():
                 known.concurrency.observe_refusal(now)
-                known.fill_up()
+                known.mark_full()
             case Misdirected():
-                # It answers at once, so it is always the emptiest: without this it
-                # is chosen for each request, and each is a retry somewhere else.
+                # The endpoint rejects requests at once, so it always has the least
+                # load. Without the ejection it would be chosen for each request, and
+                # each request would need a retry.
                 return self._eject(known, EjectionCause.MISDIRECTED, now)
             case Cancelled():
                 return None
         return None
 
     def tick(self, now: Millis) -> tuple[Ejected, ...]:
-        """Look for slow and stuck endpoints; call it about once a second."""
+        """Eject slow and stuck endpoints; to be called about once per second."""
         self._quotas.prune(self._members.by_name.keys(), now)
         self._prune_announced_leaving(now)
         self._refresh(now)
-        usual = median_pace(self._members.eligible, self._means.pace)
-        found = [
-            self._judge(endpoint, usual, now) for endpoint in self._members.eligible
+        usual_interval = median_token_interval(
+            self._members.eligible, self._means.token_interval
+        )
+        results = [
+            self._eject_if_needed(endpoint, usual_interval, now)
+            for endpoint in self._members.eligible
         ]
-        ejected = tuple(one for one in found if one is not None)
+        ejections = tuple(result for result in results if result is not None)
         self._refresh(now)
-        return ejected
+        return ejections
 
     def _candidates(
         self, request: RouteRequest, draws: tuple[float, float], now: Millis
     ) -> list[Endpoint]:
         match self._policy.sharing:
             case ExchangedLoads():
-                return self._with_room(request, draws)
+                return self._find_candidates_with_room(request, draws)
             case DividedSlots():
-                drawn = list(draw_two(self._members.eligible, request, draws))
+                candidates = list(draw_two(self._members.eligible, request, draws))
         holders = self._hints.holders(request.prefixes, now)
         if not holders:
-            return drawn
+            return candidates
         holder = holders[int(draws[1] * len(holders))]
         if self.can_send(holder, request):
-            drawn.append(self._members.by_name[holder])
-        return drawn
+            candidates.append(self._members.by_name[holder])
+        return candidates
 
-    def _with_room(
+    def _find_candidates_with_room(
         self, request: RouteRequest, draws: tuple[float, float]
     ) -> list[Endpoint]:
         eligible = self._members.eligible
-        found = all_with_room(eligible, request, draws[0])
-        if found and request.is_contended:
-            return [draw_by_room(found, draws[1])]
-        if found or not request.may_queue:
-            return found
-        return [each for each in eligible if each.name not in request.exclude]
+        candidates = endpoints_with_room(eligible, request, draws[0])
+        if candidates and request.is_contended:
+            return [draw_weighted_by_room(candidates, draws[1])]
+        if candidates or not request.may_queue:
+            return candidates
+        return [
+            endpoint for endpoint in eligible if endpoint.name not in request.exclude
+        ]
 
-    def _learn_answer(
+    def _record_answer(
         self, endpoint: Endpoint, attempt: Attempt, tokens: int, now: Millis
     ) -> None:
-        if attempt.first_token is None or tokens < 2:
+        if attempt.first_token_at is None or tokens < 2:
             return
-        pace = max(_LEAST_PACE, (now - attempt.first_token) / (tokens - 1))
-        endpoint.observe_pace(pace)
-        self._means.learn(pace, tokens)
+        token_interval = max(
+            _MIN_TOKEN_INTERVAL_MS, (now - attempt.first_token_at) / (tokens - 1)
+        )
+        endpoint.observe_token_interval(token_interval)
+        self._means.observe_answer(token_interval, tokens)
 
-    def _learn_failure(self, endpoint: Endpoint, now: Millis) -> Ejected | None:
+    def _record_failure(self, endpoint: Endpoint, now: Millis) -> Ejected | None:
         size = len(self._members.by_name)
-        ejected = self._ejector.observe_failure(endpoint.name, size, now)
+        ejected = self._ejector.record_failure(endpoint.name, size, now)
         if ejected is not None:
-            self._after_ejection(endpoint)
+            self._reset_after_ejection(endpoint)
             self._refresh(now)
         return ejected
 
-    def _judge(self, endpoint: Endpoint, usual: float, now: Millis) -> Ejected | None:
-        cause = cause_to_eject(endpoint, usual, self._policy.ejection, now)
+    def _eject_if_needed(
+        self, endpoint: Endpoint, usual_interval: float, now: Millis
+    ) -> Ejected | None:
+        cause = find_ejection_cause(
+            endpoint, usual_interval, self._policy.ejection, now
+        )
         return None if cause is None else self._eject(endpoint, cause, now)
 
     def _eject(
@@ -249,12 +264,12 @@
         size = len(self._members.by_name)
         ejected = self._ejector.eject(endpoint.name, cause, size, now)
         if ejected is not None:
-            self._after_ejection(endpoint)
+            self._reset_after_ejection(endpoint)
             self._refresh(now)
         return ejected
 
-    def _after_ejection(self, endpoint: Endpoint) -> None:
-        # It comes back with one request at a time, and is judged by what it
-        # does then, not by what it did before.
-        endpoint.concurrency.restart()
-        endpoint.forget_pace()
+    def _reset_after_ejection(self, endpoint: Endpoint) -> None:
+        # After its return, the endpoint starts with one request at a time, and only its
+        # new responses count.
+        endpoint.concurrency.reset()
+        endpoint.reset_token_interval()
--- a/src/azurefold/core/routing/pool_state.py
+++ b/src/azurefold/core/routing/pool_state.py
@@ -1,4 +1,4 @@
-"""What one node knows of a service's endpoints, as input to the choice among them."""
+"""State of a service's endpoints on one node, on which routing decisions are based."""
 
 from collections.abc import Collection, Iterable
 from math import ceil
@@ -19,27 +19,27 @@
 
 
 _LEAVING_RETENTION_MS: Millis = 600_000
-"""Time since its last announcement after which an unlisted endpoint is forgotten.
+"""Time after its last announcement for which an unlisted endpoint is remembered.
 
 Longer than an endpoint that is leaving may be temporarily missing from the list."""
 
 
 class PoolState:
-    """Members of a pool, their loads, and which of them are left out.
+    """Members of a pool, their loads, and which of them are excluded.
 
     Parameters
     ----------
     policy : PoolPolicy, optional
-        The policies of its parts.
+        Policies for choice, concurrency, ejection and slot sharing.
     """
 
     def __init__(self, policy: PoolPolicy | None = None) -> None:
         self._policy = policy or PoolPolicy()
         self._members = Members(self._policy.concurrency, self._policy.sharing)
         self._ejector = Ejector(self._policy.ejection)
-        self._next_return: Millis | None = None
+        self._next_check_at: Millis | None = None
         self._hints = PrefixHints()
-        self._absences = Exclusions(self._ejector)
+        self._exclusions = Exclusions(self._ejector)
         self._quotas = EndpointQuotas()
         self._backoffs = Backoffs()
         self._announced_leaving: dict[str, Millis] = {}
@@ -47,39 +47,39 @@
 
     @property
     def endpoints(self) -> tuple[str, ...]:
-        """All endpoints, also those leaving or ejected."""
+        """All endpoints, including those that are leaving or ejected."""
         return tuple(self._members.by_name)
 
     @property
     def ejected(self) -> frozenset[str]:
-        """Endpoints left out for a while."""
+        """Endpoints that are ejected at present."""
         return self._ejector.ejected
 
     @property
     def paused(self) -> frozenset[str]:
         """Endpoints whose group is down."""
-        return self._absences.paused
+        return self._exclusions.paused
 
     @property
     def is_unavailable(self) -> bool:
-        """Whether each endpoint's group is down, or the endpoint out of reach."""
+        """Whether every endpoint is unreachable, or its group is down."""
         names = self._members.by_name.keys()
-        return bool(names) and names <= self._absences.paused | self.unreachable
+        return bool(names) and names <= self._exclusions.paused | self.unreachable
 
     @property
     def unreachable(self) -> frozenset[str]:
-        """Endpoints to which no connection could be made a moment ago."""
-        return self._absences.unreachable
+        """Endpoints to which a connection attempt has recently timed out."""
+        return self._exclusions.unreachable
 
     @property
     def over_quota(self) -> frozenset[str]:
-        """Endpoints in need that this node may send nothing for now."""
-        return frozenset(self._absences.over_quota)
+        """Endpoints whose quota allows no request of this node at present."""
+        return frozenset(self._exclusions.over_quota)
 
     @property
     def backing_off(self) -> frozenset[str]:
         """Endpoints whose requested backoff has not ended."""
-        return frozenset(self._absences.backing_off)
+        return frozenset(self._exclusions.backing_off)
 
     @property
     def next_available_at(self) -> Millis | None:
@@ -88,181 +88,188 @@
         None if an endpoint is eligible now, if none is backing off, or if a group is
         down, as the time of its recovery is unknown.
         """
-        absences = self._absences
-        if self._members.eligible or absences.paused or not absences.backing_off:
+        exclusions = self._exclusions
+        if self._members.eligible or exclusions.paused or not exclusions.backing_off:
             return None
-        return absences.next_return
+        return exclusions.next_end
 
     @property
     def quota_shares(self) -> dict[str, QuotaShare]:
-        """What this node may send to endpoints in need."""
-        return self._quotas.parts
+        """This node's shares of quotas, by endpoint."""
+        return self._quotas.shares
 
     @property
     def in_flight(self) -> int:
-        """Attempts of this node that have not ended."""
+        """Number of this node's attempts that have not ended."""
         return sum(self.loads.values())
 
     @property
     def room(self) -> int:
-        """Requests that the endpoints that may be chosen have room for."""
+        """Number of further requests that all eligible endpoints have room for."""
         return self._members.room
 
     @property
     def draft_room(self) -> int:
-        """The room left when a part is kept free for confirmations."""
+        """Room for drafts, which excludes the reserve for confirmations."""
         capacity = self._members.capacity
-        kept = min(ceil(self._policy.reserve * capacity), capacity - 1)
-        # Of a single place none is kept, or drafts would wait there for ever.
-        return self._members.room - max(0, kept)
+        reserved = min(ceil(self._policy.reserve * capacity), capacity - 1)
+        # With a capacity of one nothing is reserved, or drafts would wait for ever.
+        return self._members.room - max(0, reserved)
 
     def set_nodes(self, count: int, position: int = 0) -> None:
-        """Take in how many nodes send to these endpoints.
+        """Set how many nodes send to these endpoints.
 
         Parameters
         ----------
         count : int
-            Live nodes, this one included.
+            Number of live nodes, this one included.
         position : int, default=0
-            This node's place in their sorted list, from 0.
+            Index of this node in their sorted list, from 0.
         """
         self._members.share_slots(count, position)
 
     def set_slots(self, slots: int) -> None:
-        """Take in how many requests each endpoint may have from all nodes."""
+        """Set how many requests each endpoint may have from all nodes."""
         self._members.set_slots(slots)
 
     def set_distance(self, endpoint: str, distance: Millis) -> None:
-        """Take in the milliseconds that a nearer endpoint is worth waiting for."""
+        """Set the milliseconds that are added to the expected wait at ``endpoint``."""
         self._members.by_name[endpoint].distance = distance
 
     def load_of(self, endpoint: str) -> int:
-        """Return how many attempts of this node are at ``endpoint``."""
+        """Return the number of this node's attempts in flight at ``endpoint``."""
         return self._members.by_name[endpoint].in_flight
 
     @property
     def loads(self) -> dict[str, int]:
-        """Attempts of this node by endpoint, those without any left out.
+        """Numbers of this node's attempts in flight, by endpoint; zeros are omitted.
 
-        Also at endpoints that this node sends nothing to any more.
+        Includes former endpoints, to which this node no longer sends requests.
         """
-        known = (self._members.by_name, self._members.former)
+        present_and_former = (self._members.by_name, self._members.former)
         return {
             name: endpoint.in_flight
-            for endpoints in known
+            for endpoints in present_and_former
             for name, endpoint in endpoints.items()
             if endpoint.in_flight
         }
 
     def limit(self, endpoint: str) -> int:
-        """Return how many requests this node keeps at ``endpoint``."""
+        """Return this node's concurrency limit at ``endpoint``."""
         return self._members.by_name[endpoint].concurrency.limit
 
     def set_endpoints(
         self, names: Iterable[str], now: Millis, leaving: Iterable[str] = ()
     ) -> None:
-        """Take in the present members.
+        """Replace the members of the pool.
 
-        An endpoint that was marked as leaving stays so until it has dropped
-        out of ``names`` or was readmitted, since the list of VMs lags.
+        An endpoint that was marked as leaving keeps this mark until it is missing from
+        ``names`` or is readmitted, because the list of VMs is out of date for a while.
         """
-        for gone in self._members.replace(frozenset(names), now):
-            self._absences.forget(gone)
-        self._means.others = self._members.mean_others
+        for removed in self._members.set_names(frozenset(names), now):
+            self._exclusions.forget(removed)
+        self._means.peer_requests = self._members.mean_peer_requests
         for name in (*leaving, *self._announced_leaving):
             if name in self._members.by_name:
-                self._members.by_name[name].leaving = True
+                self._members.by_name[name].is_leaving = True
         self._refresh(now)
 
     def set_paused(self, names: frozenset[str]) -> None:
-        """Choose none of ``names`` until told otherwise: their group is down.
+        """Set the endpoints that are excluded because their group is down.
 
-        What goes wrong if each request finds out by itself: a group that is down
-        takes half of all requests for as long as it is, and refuses them.
+        If each request had to find this out by itself, a group that is down would
+        receive half of all requests, and refuse them, until it recovers.
         """
-        self._absences.paused = names
-        self._members.select(self._absences.names)
+        self._exclusions.paused = names
+        self._members.update_eligible(self._exclusions.names)
 
     def set_suspected(self, names: frozenset[str]) -> None:
-        """Prefer others to ``names``: their group seems to stand still."""
+        """Mark the endpoints whose group is possibly stalled; others are preferred."""
         for name, endpoint in self._members.by_name.items():
             endpoint.is_suspected = name in names
 
     def is_within_slots(self, endpoint: str) -> bool:
-        """Whether an endpoint has no more requests than slots, from all nodes."""
+        """Whether an endpoint has at most as many requests from all nodes as slots."""
         known = self._members.by_name.get(endpoint)
-        return known is not None and known.in_flight + known.others <= known.slots
+        return (
+            known is not None and known.in_flight + known.peer_requests <= known.slots
+        )
 
     def mean_running(self, names: Collection[str]) -> float:
-        """Return the requests of all nodes that ``names`` run, on average.
+        """Return the mean number of requests, from all nodes, that ``names`` run.
 
-        What an endpoint has beyond its slots waits there and makes no pass longer.
+        Requests beyond an endpoint's slots wait there and do not make a pass longer.
         """
         members = [self._members.by_name[name] for name in names]
-        running = [min(each.in_flight + each.others, each.slots) for each in members]
+        running = [
+            min(endpoint.in_flight + endpoint.peer_requests, endpoint.slots)
+            for endpoint in members
+        ]
         return sum(running) / len(running) if running else 0.0
 
     def limit_requests(self, names: Collection[str], mean: float | None) -> None:
-        """Let ``names`` have at most so many requests, on average; None for any.
+        """Limit the mean number of requests at ``names``; None removes the limit.
 
-        A part of a request goes to the first of them in the order of names, which is
-        the same on all nodes.
+        The remainder of the division goes to the first endpoints in the order of names,
+        which is the same on all nodes.
         """
-        most, rest = divmod(round((mean or 0.0) * len(names)), max(1, len(names)))
-        for place, name in enumerate(sorted(names)):
+        limit, remainder = divmod(round((mean or 0.0) * len(names)), max(1, len(names)))
+        for index, name in enumerate(sorted(names)):
             endpoint = self._members.by_name[name]
-            endpoint.most = None if mean is None else most + (place < rest)
-            self._members.recount(endpoint)
+            endpoint.max_requests = (
+                None if mean is None else limit + (index < remainder)
+            )
+            self._members.update_totals(endpoint)
 
     def mark_unreachable(self, endpoint: str, now: Millis) -> None:
-        """Note that no connection to an endpoint could be made in time."""
+        """Exclude an endpoint for a while after a connection attempt timed out."""
         if endpoint in self._members.by_name:
-            self._absences.mark_unreachable(endpoint, now)
+            self._exclusions.mark_unreachable(endpoint, now)
             self._refresh(now)
 
     def share_quotas(self, sharers: QuotaSharers, now: Millis) -> None:
-        """Take in the nodes among which the quotas of endpoints are dealt out."""
+        """Set the nodes that share the quotas of endpoints."""
         if self._quotas.set_sharers(sharers, now):
             self._refresh(now)
 
     def record_quota_answer(
         self, endpoint: str, rate: float | None, sent_at: Millis, now: Millis
     ) -> bool:
-        """Take in the quota that an answer names; return whether that is news.
+        """Record the quota named in a response; return whether it has changed.
 
         Parameters
         ----------
         endpoint : str
         rate : float or None
-            Requests a second from all nodes; None if the answer names none.
+            Requests per second from all nodes; None if the response names no quota.
         sent_at : int
             When the request was sent.
         now : int
         """
-        if not self._quotas.answered(endpoint, rate, sent_at, now):
+        if not self._quotas.record_answer(endpoint, rate, sent_at, now):
             return False
         self._refresh(now)
         return True
 
     def record_quota_report(
-        self, endpoint: str, word: QuotaReport, now: Millis
+        self, endpoint: str, report: QuotaReport, now: Millis
     ) -> bool:
-        """Take in the quota that another node was told; return whether it is news."""
-        if not self._quotas.told(endpoint, word, now):
+        """Record a report from another node; return whether the quota has changed."""
+        if not self._quotas.record_report(endpoint, report, now):
             return False
         self._refresh(now)
         return True
 
     def quota_reports(self, now: Millis) -> dict[str, QuotaReport]:
-        """Return what other nodes should be told of quotas."""
-        return self._quotas.words(now)
+        """Return the quota reports to send to other nodes, by endpoint."""
+        return self._quotas.reports(now)
 
-    def has_own_quota_report_since(self, then: Millis) -> bool:
-        """Whether an endpoint told this node itself of its quota after ``then``."""
-        return self._quotas.heard_since(then)
+    def has_own_quota_report_since(self, since: Millis) -> bool:
+        """Whether an endpoint reported its quota to this node after ``since``."""
+        return self._quotas.has_own_report_since(since)
 
     def forget(self, name: str, now: Millis) -> None:
-        """Forget all of an endpoint, which may be added again as a new one."""
+        """Discard all state of an endpoint, which may be added again as a new one."""
         self._quotas.forget(name)
         self._backoffs.forget(name)
         self._announced_leaving.pop(name, None)
@@ -271,7 +278,7 @@
 
     def accepts_requests(self, endpoint: str) -> bool:
         """Whether an endpoint is not backing off and has not announced leaving."""
-        is_backing_off = endpoint in self._absences.backing_off
+        is_backing_off = endpoint in self._exclusions.backing_off
         return not is_backing_off and not self.has_announced_leaving(endpoint)
 
     def has_announced_leaving(self, endpoint: str) -> bool:
@@ -302,52 +309,52 @@
         return not is_known
 
     def mark_leaving(self, endpoint: str, now: Millis) -> None:
-        """Choose ``endpoint`` no more; its attempts in flight go on."""
+        """Exclude an endpoint that is leaving; its attempts in flight continue."""
         known = self._members.by_name.get(endpoint)
         if known is not None:
-            known.leaving = True
+            known.is_leaving = True
             self._refresh(now)
 
     def readmit(self, endpoint: str, now: Millis) -> None:
-        """Choose ``endpoint`` again: a new incarnation of it has joined."""
+        """Make an endpoint eligible again after a new incarnation of it has joined."""
         known = self._members.by_name.get(endpoint)
         if known is not None:
-            known.leaving = False
+            known.is_leaving = False
             self._refresh(now)
 
     def record_load(self, endpoint: str, report: LoadReport, now: Millis) -> None:
-        """Take in a load report."""
+        """Apply a load report."""
         known = self._members.by_name.get(endpoint)
         if known is None:
             return
-        self._members.report(known, report, now)
-        self._means.others = self._members.mean_others
+        self._members.record_load(known, report, now)
+        self._means.peer_requests = self._members.mean_peer_requests
 
     def prefix_cached(self, endpoint: str, prefix_hash: int, now: Millis) -> None:
-        """Take in a cache event."""
+        """Record that an endpoint has cached a prefix."""
         if endpoint in self._members.by_name:
-            self._hints.cached(endpoint, prefix_hash, now)
+            self._hints.add(endpoint, prefix_hash, now)
 
     def prefix_evicted(self, endpoint: str, prefix_hash: int) -> None:
-        """Take in the event of an eviction."""
-        self._hints.evicted(endpoint, prefix_hash)
+        """Record that an endpoint has evicted a prefix."""
+        self._hints.remove(endpoint, prefix_hash)
 
     def _prune_announced_leaving(self, now: Millis) -> None:
-        oldest = now - _LEAVING_RETENTION_MS
+        cutoff = now - _LEAVING_RETENTION_MS
         self._announced_leaving = {
             name: announced_at
             for name, announced_at in self._announced_leaving.items()
-            if name in self._members.by_name or announced_at > oldest
+            if name in self._members.by_name or announced_at > cutoff
         }
 
     def _refresh(self, now: Millis) -> None:
-        for name in self._absences.returned(now):
-            self._members.by_name[name].last_progress = now
-        self._absences.over_quota = self._quotas.closed(now)
-        self._absences.backing_off = {
+        for name in self._exclusions.readmit_due(now):
+            self._members.by_name[name].last_progress_at = now
+        self._exclusions.over_quota = self._quotas.closed_until(now)
+        self._exclusions.backing_off = {
             name: until
             for name, until in self._backoffs.active(now).items()
             if name in self._members.by_name
         }
-        self._members.select(self._absences.names)
-        self._next_return = self._absences.next_return
+        self._members.update_eligible(self._exclusions.names)
+        self._next_check_at = self._exclusions.next_end
--- a/src/azurefold/core/routing/prompt.py
+++ b/src/azurefold/core/routing/prompt.py
@@ -1,4 +1,4 @@
-"""Which prefixes of a prompt are told apart."""
+"""Computes the prefixes of a prompt that are used for routing."""
 
 import hashlib
 
@@ -6,18 +6,18 @@
 
 __all__ = ["prompt_prefixes"]
 
-_SHORTEST = 256
-_LONGEST = 16_384
+_MIN_PREFIX_CHARACTERS = 256
+_MAX_PREFIX_CHARACTERS = 16_384
 _CHARACTERS_PER_TOKEN = 4
 _HASH_BYTES = 8
 
 
 def prompt_prefixes(prompt: str) -> tuple[Prefix, ...]:
-    """Return the prefixes of doubling lengths that a prompt has.
+    """Return the prefixes of a prompt, each twice as long as the one before.
 
-    Prompts of one application begin alike, with its instructions, and end
-    apart. A few lengths find most of what two of them share; one for each of
-    the engine's blocks would cost more than the rest of the choice.
+    Prompts of one application start with the same instructions and then differ. A few
+    lengths find most of what two prompts have in common. One prefix for each of the
+    engine's blocks would cost more than the rest of the routing decision.
 
     Parameters
     ----------
@@ -35,10 +35,10 @@
     """
     prefixes = []
     digest = hashlib.blake2b(digest_size=_HASH_BYTES)
-    start, length = 0, _SHORTEST
-    while length <= min(len(prompt), _LONGEST):
+    start, length = 0, _MIN_PREFIX_CHARACTERS
+    while length <= min(len(prompt), _MAX_PREFIX_CHARACTERS):
         digest.update(prompt[start:length].encode("utf-8", "surrogatepass"))
-        number = int.from_bytes(digest.copy().digest(), "big")
-        prefixes.append(Prefix(number, length // _CHARACTERS_PER_TOKEN))
+        prefix_hash = int.from_bytes(digest.copy().digest(), "big")
+        prefixes.append(Prefix(prefix_hash, length // _CHARACTERS_PER_TOKEN))
         start, length = length, 2 * length
     return tuple(prefixes)
--- a/src/azurefold/core/routing/quota_sharers.py
+++ b/src/azurefold/core/routing/quota_sharers.py
@@ -1,31 +1,33 @@
-"""The nodes to which an endpoint's quota is dealt."""
+"""Selects the nodes that hold a share of an endpoint's quota."""
 
 from dataclasses import dataclass
 from hashlib import blake2b
 
 __all__ = ["QuotaSharers"]
 
-_LEAST_HOLDERS = 3
-_HOLDERS_FOR_EACH = 1.5
-"""For each request a second of a quota. More holders find more callers; but each may
-have one request more in a window than its part, and what endpoints bear, half of the
-quota and five requests beyond it, has to have room for one holder too many."""
+_MIN_HOLDERS = 3
+_HOLDERS_PER_REQUEST_RATE = 1.5
+"""Number of holders for each request per second of a quota.
+
+With more holders, more callers can use the quota. But each holder may send one request
+per window beyond its share. Endpoints tolerate half of the quota and five requests
+beyond it, and this tolerance must also cover one holder too many."""
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaSharers:
-    """The nodes among which quotas are dealt out.
+    """Nodes that share the quotas of endpoints.
 
     Parameters
     ----------
     node : str
-        This one.
+        This node.
     nodes : frozenset of str
-        Those of the cell that are heard and have callers.
+        Nodes of the cell that are live and have callers.
     cell, cells : int
-        Number of the cell, and how many there are.
+        Number of this cell, and number of all cells.
     is_divided : bool
-        Whether each endpoint gets requests of one cell only.
+        Whether each endpoint gets requests from one cell only.
     """
 
     node: str = ""
@@ -34,35 +36,35 @@
     cells: int = 1
     is_divided: bool = False
 
-    def holders(self, endpoint: str, rate: float, turn: int = 0) -> frozenset[str]:
-        """Return the nodes to which an endpoint's quota is dealt.
+    def holders(self, endpoint: str, rate: float, rotation: int = 0) -> frozenset[str]:
+        """Return the nodes that hold a share of an endpoint's quota.
 
-        They are found by rendezvous hashing: when a node comes or goes, no other one
-        changes its place.
+        Holders are chosen by rendezvous hashing, so that the order of the other nodes
+        does not change when a node joins or leaves.
 
         Parameters
         ----------
         endpoint : str
         rate : float
-            Requests a second of all holders together.
-        turn : int, default=0
-            How often other holders are to be tried.
+            Requests per second of all holders together.
+        rotation : int, default=0
+            How many times the holders are replaced by the next nodes in order.
         """
         if not self._is_of_this_cell(endpoint) or not self.nodes:
             return frozenset()
-        ranked = sorted(self.nodes, key=lambda node: _place(endpoint, node))
-        number = min(len(ranked), _LEAST_HOLDERS + int(_HOLDERS_FOR_EACH * rate))
-        first = turn * number
+        ranked = sorted(self.nodes, key=lambda node: _rank_key(endpoint, node))
+        count = min(len(ranked), _MIN_HOLDERS + int(_HOLDERS_PER_REQUEST_RATE * rate))
+        first = rotation * count
         return frozenset(
-            ranked[(first + place) % len(ranked)] for place in range(number)
+            ranked[(first + offset) % len(ranked)] for offset in range(count)
         )
 
     def _is_of_this_cell(self, endpoint: str) -> bool:
         if self.is_divided or self.cells <= 1:
             return True
         cells = range(self.cells)
-        return self.cell == min(cells, key=lambda cell: _place(endpoint, str(cell)))
+        return self.cell == min(cells, key=lambda cell: _rank_key(endpoint, str(cell)))
 
 
-def _place(endpoint: str, sharer: str) -> bytes:
+def _rank_key(endpoint: str, sharer: str) -> bytes:
     return blake2b(f"{endpoint}/{sharer}".encode(), digest_size=8).digest()
--- a/src/azurefold/core/routing/quotas.py
+++ b/src/azurefold/core/routing/quotas.py
@@ -1,10 +1,11 @@
-"""Quotas that endpoints in need name, kept by all nodes together.
-
-An endpoint in need says in its answers how many requests a second it takes from
-all nodes. Counting at each node does not keep to that: each would send as much as
-all together may. Equal parts do, but of three requests a second a hundred nodes have
-one in half a minute each, and most of the quota is lost. So a quota is dealt to a
-few nodes, its holders, and the other nodes leave the endpoint out.
+"""Enforces the request quotas of overloaded endpoints across all nodes.
+
+An overloaded endpoint states in its responses how many requests per second it accepts
+from all nodes together. If each node enforced this rate on its own, each would send as
+much as all nodes together are allowed. Equal shares would respect the quota, but waste
+most of it: with three requests per second and a hundred nodes, each node could send one
+request in half a minute. A quota is therefore assigned to a few nodes, its holders, and
+the other nodes exclude the endpoint.
 """
 
 from collections.abc import Collection, Iterable
@@ -18,38 +19,43 @@
 _SECOND_MS = 1_000
 
 _SETTLING_MS: Millis = 4_000
-"""Quotas hold in any span of this length. What a former holder has sent within it
-counts as well, so a new holder sends nothing for as long."""
+"""Length of the time windows in which a quota holds.
+
+Requests of former holders count within the window, so a new holder sends nothing for
+this long."""
+
+_MIN_RATE = 0.2
+"""Smallest rate, in requests per second, that is sent to an endpoint with a quota.
+
+Without any responses, no node would learn that the quota has ended."""
 
-_LEAST_RATE = 0.2
-"""Requests a second that an endpoint gets even if it names less: without an answer
-nobody learns that its need is over."""
+_REASSIGN_AFTER_MS: Millis = 8_000
+"""Time without a quota report after which other nodes become holders.
 
-_UNUSED_MS: Millis = 8_000
-"""Without an answer for this long other holders are tried: twice the settling time,
-so that a holder has had its chance."""
+Twice the settling time, so that each holder has been able to send."""
 
-_LOOK_AGAIN_MS: Millis = 500
-"""Until a node that is no holder looks whether it has become one."""
+_RECHECK_MS: Millis = 500
+"""Interval at which a node that is not a holder checks whether it has become one."""
 
-_REMEMBERED_MS: Millis = 60_000
-"""After the last word of an endpoint that is not among the present ones. Cells that
-are dealt anew take endpoints away for some seconds and bring them back."""
+_RETENTION_MS: Millis = 60_000
+"""Time after its last report for which the quota of an unlisted endpoint is kept.
 
-_TOLD_MS: Millis = 10_000
-"""After an endpoint's need is over, for messages that are lost."""
+A new partition into cells can remove endpoints for some seconds and add them again."""
+
+_REPORT_ENDED_MS: Millis = 10_000
+"""Time for which the end of a quota is reported, as messages may be lost."""
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaReport:
-    """What an endpoint said of its quota.
+    """Quota that an endpoint stated in a response.
 
     Parameters
     ----------
     rate : float or None
-        Requests a second from all nodes; None if it named no quota.
+        Requests per second from all nodes; None if the response named no quota.
     reported_at : int
-        When it said so, on this node's clock.
+        Time of the response, on this node's clock.
     """
 
     rate: float | None
@@ -58,14 +64,14 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaShare:
-    """What this node may send to an endpoint in need.
+    """This node's share of an endpoint's quota.
 
     Parameters
     ----------
     quota : float
-        Requests a second that the endpoint takes from all nodes.
+        Requests per second that the endpoint accepts from all nodes.
     rate : float
-        Requests a second from this node; 0 if it is no holder.
+        Requests per second that this node may send; 0 if it is not a holder.
     """
 
     quota: float
@@ -74,177 +80,182 @@
 
 @dataclass(slots=True)
 class _Quota:
-    """One endpoint's quota, and what this node holds of it."""
+    """Quota of one endpoint, and this node's share of it."""
 
-    word: QuotaReport
+    report: QuotaReport
     is_own: bool
-    rate_here: float = 0.0
-    held_since: Millis | None = None
+    local_rate: float = 0.0
+    holder_since: Millis | None = None
     credit: float = 0.0
     credit_at: Millis = 0
 
-    def earn(self, now: Millis) -> None:
-        """Add what the time since the last look has earned."""
-        earned = self.rate_here * (now - self.credit_at) / _SECOND_MS
+    def add_credit(self, now: Millis) -> None:
+        """Add the credit that has accrued since the last call, up to one request."""
+        earned = self.local_rate * (now - self.credit_at) / _SECOND_MS
         self.credit = min(1.0, self.credit + earned)
         self.credit_at = now
 
-    def hold(self, rate: float, now: Millis) -> None:
-        """Take in this node's part, which may be none."""
-        self.earn(now)
-        self.rate_here = rate
+    def set_local_rate(self, rate: float, now: Millis) -> None:
+        """Set the rate of this node's share; 0 if it has none."""
+        self.add_credit(now)
+        self.local_rate = rate
         if not rate:
-            self.held_since = None
-        elif self.held_since is None:
-            self.held_since = now
+            self.holder_since = None
+        elif self.holder_since is None:
+            self.holder_since = now
             self.credit = 0.0
 
-    def open_at(self, now: Millis) -> Millis:
-        """Return when the next request may go, as far as can be told now."""
-        if self.held_since is None:
-            return now + _LOOK_AGAIN_MS
-        self.earn(now)
+    def next_send_at(self, now: Millis) -> Millis:
+        """Return when this node may send a request, or has to check again."""
+        if self.holder_since is None:
+            return now + _RECHECK_MS
+        self.add_credit(now)
         missing = max(0.0, 1.0 - self.credit)
-        # Rounded up: a moment too early, the credit would still lack a part.
-        earned_at = now + -int(-missing * _SECOND_MS // self.rate_here)
-        return max(earned_at, self.held_since + _SETTLING_MS)
+        # Rounded up, because the credit would not yet be complete at an earlier time.
+        earned_at = now + -int(-missing * _SECOND_MS // self.local_rate)
+        return max(earned_at, self.holder_since + _SETTLING_MS)
 
 
 @dataclass(slots=True)
 class EndpointQuotas:
-    """The quotas of one service's endpoints, as one node knows them."""
+    """Quotas of the endpoints of one service, as one node knows them."""
 
     _sharers: QuotaSharers = field(default_factory=QuotaSharers)
     _quotas: dict[str, _Quota] = field(default_factory=dict)
 
     def set_sharers(self, sharers: QuotaSharers, now: Millis) -> bool:
-        """Take in the nodes that share quotas; return whether they are others."""
+        """Set the nodes that share quotas; return whether any quota is affected."""
         if sharers == self._sharers:
             return False
         self._sharers = sharers
-        self._deal(now)
+        self._assign_shares(now)
         return bool(self._quotas)
 
-    def answered(
+    def record_answer(
         self, endpoint: str, rate: float | None, sent_at: Millis, now: Millis
     ) -> bool:
-        """Take in what an answer says; return whether that is news.
+        """Record the quota named in a response; return whether it has changed.
 
         Parameters
         ----------
         endpoint : str
         rate : float or None
-            None if the answer names no quota.
+            Requests per second; None if the response names no quota.
         sent_at : int
-            When its request was sent. An answer to a request from before the last
-            word may have been made before the endpoint came in need.
+            When the request was sent. The response to a request sent before the last
+            quota report may date from before the endpoint was overloaded.
         now : int
         """
         known = self._quotas.get(endpoint)
-        if rate is None and not _may_end(known, sent_at):
+        if rate is None and not _can_end_quota(known, sent_at):
             return False
-        return self._take(endpoint, QuotaReport(rate, now), now, is_own=True)
+        return self._record(endpoint, QuotaReport(rate, now), now, is_own=True)
 
-    def told(self, endpoint: str, word: QuotaReport, now: Millis) -> bool:
-        """Take in what another node was told; return whether that is news."""
+    def record_report(self, endpoint: str, report: QuotaReport, now: Millis) -> bool:
+        """Record a report from another node; return whether the quota has changed."""
         known = self._quotas.get(endpoint)
-        if known is not None and word.reported_at <= known.word.reported_at:
+        if known is not None and report.reported_at <= known.report.reported_at:
             return False
-        if known is None and word.rate is None:
+        if known is None and report.rate is None:
             return False
-        return self._take(endpoint, word, now, is_own=False)
+        return self._record(endpoint, report, now, is_own=False)
 
     def charge_request(self, endpoint: str, now: Millis) -> bool:
-        """Charge a request that goes to an endpoint; return whether it has a quota."""
+        """Charge a request to an endpoint's quota; return whether it has a quota."""
         known = self._quotas.get(endpoint)
-        if known is None or known.word.rate is None:
+        if known is None or known.report.rate is None:
             return False
-        known.earn(now)
+        known.add_credit(now)
         known.credit -= 1.0
         return True
 
-    def closed(self, now: Millis) -> dict[str, Millis]:
-        """Return the endpoints that may get nothing now, with when to look again."""
-        self._deal(now)
-        until = {
-            endpoint: quota.open_at(now)
+    def closed_until(self, now: Millis) -> dict[str, Millis]:
+        """Return when to check again each endpoint that may get no request now."""
+        self._assign_shares(now)
+        open_times = {
+            endpoint: quota.next_send_at(now)
             for endpoint, quota in self._quotas.items()
-            if quota.word.rate is not None
+            if quota.report.rate is not None
+        }
+        return {
+            endpoint: open_time
+            for endpoint, open_time in open_times.items()
+            if open_time > now
         }
-        return {endpoint: at for endpoint, at in until.items() if at > now}
 
-    def words(self, now: Millis) -> dict[str, QuotaReport]:
-        """Return what the other nodes should be told."""
+    def reports(self, now: Millis) -> dict[str, QuotaReport]:
+        """Return the quota reports to send to other nodes, by endpoint."""
         return {
-            endpoint: quota.word
+            endpoint: quota.report
             for endpoint, quota in self._quotas.items()
-            if quota.word.rate is not None or now - quota.word.reported_at < _TOLD_MS
+            if quota.report.rate is not None
+            or now - quota.report.reported_at < _REPORT_ENDED_MS
         }
 
-    def heard_since(self, then: Millis) -> bool:
-        """Whether an endpoint told this node itself of its quota after ``then``."""
+    def has_own_report_since(self, since: Millis) -> bool:
+        """Whether an endpoint reported its quota to this node after ``since``."""
         return any(
-            quota.is_own and quota.word.reported_at > then
+            quota.is_own and quota.report.reported_at > since
             for quota in self._quotas.values()
         )
 
     @property
-    def parts(self) -> dict[str, QuotaShare]:
-        """This node's parts, by endpoint in need."""
+    def shares(self) -> dict[str, QuotaShare]:
+        """This node's shares, by endpoint with a quota."""
         return {
-            endpoint: QuotaShare(quota.word.rate, quota.rate_here)
+            endpoint: QuotaShare(quota.report.rate, quota.local_rate)
             for endpoint, quota in self._quotas.items()
-            if quota.word.rate is not None
+            if quota.report.rate is not None
         }
 
     def forget(self, endpoint: str) -> None:
-        """Forget an endpoint that has started anew."""
+        """Discard the quota of an endpoint that has restarted."""
         self._quotas.pop(endpoint, None)
 
     def prune(self, present: Collection[str], now: Millis) -> None:
-        """Forget words of endpoints that have been gone for long."""
-        old = now - _REMEMBERED_MS
-        for endpoint in self._long_gone(present, old):
+        """Discard old quotas that have ended or whose endpoint is not present."""
+        cutoff = now - _RETENTION_MS
+        for endpoint in self._find_expired(present, cutoff):
             del self._quotas[endpoint]
 
-    def _long_gone(self, present: Collection[str], old: Millis) -> Iterable[str]:
+    def _find_expired(self, present: Collection[str], cutoff: Millis) -> Iterable[str]:
         return [
             endpoint
             for endpoint, quota in self._quotas.items()
-            if quota.word.reported_at < old
-            and (endpoint not in present or quota.word.rate is None)
+            if quota.report.reported_at < cutoff
+            and (endpoint not in present or quota.report.rate is None)
         ]
 
-    def _take(
-        self, endpoint: str, word: QuotaReport, now: Millis, *, is_own: bool
+    def _record(
+        self, endpoint: str, report: QuotaReport, now: Millis, *, is_own: bool
     ) -> bool:
         known = self._quotas.get(endpoint)
         if known is None:
-            known = self._quotas[endpoint] = _Quota(word, is_own, credit_at=now)
-            self._deal_one(endpoint, known, now)
+            known = self._quotas[endpoint] = _Quota(report, is_own, credit_at=now)
+            self._assign_share(endpoint, known, now)
             return True
-        is_news = word.rate != known.word.rate
-        known.word, known.is_own = word, is_own
-        self._deal_one(endpoint, known, now)
-        return is_news
+        has_changed = report.rate != known.report.rate
+        known.report, known.is_own = report, is_own
+        self._assign_share(endpoint, known, now)
+        return has_changed
 
-    def _deal(self, now: Millis) -> None:
+    def _assign_shares(self, now: Millis) -> None:
         for endpoint, quota in self._quotas.items():
-            self._deal_one(endpoint, quota, now)
+            self._assign_share(endpoint, quota, now)
 
-    def _deal_one(self, endpoint: str, quota: _Quota, now: Millis) -> None:
-        if quota.word.rate is None:
-            quota.hold(0.0, now)
+    def _assign_share(self, endpoint: str, quota: _Quota, now: Millis) -> None:
+        if quota.report.rate is None:
+            quota.set_local_rate(0.0, now)
             return
-        rate = max(_LEAST_RATE, quota.word.rate)
-        turn = max(0, now - quota.word.reported_at) // _UNUSED_MS
-        holders = self._sharers.holders(endpoint, rate, turn)
+        rate = max(_MIN_RATE, quota.report.rate)
+        rotation = max(0, now - quota.report.reported_at) // _REASSIGN_AFTER_MS
+        holders = self._sharers.holders(endpoint, rate, rotation)
         is_holder = self._sharers.node in holders
-        quota.hold(rate / len(holders) if is_holder else 0.0, now)
+        quota.set_local_rate(rate / len(holders) if is_holder else 0.0, now)
 
 
-def _may_end(known: _Quota | None, sent_at: Millis) -> bool:
-    """Whether an answer without a quota to a request sent then ends a need."""
-    if known is None or known.word.rate is None:
+def _can_end_quota(known: _Quota | None, sent_at: Millis) -> bool:
+    """Whether a response without a quota, to a request sent then, ends the quota."""
+    if known is None or known.report.rate is None:
         return False
-    return sent_at >= known.word.reported_at
+    return sent_at >= known.report.reported_at
--- a/src/azurefold/core/routing/rank_groups.py
+++ b/src/azurefold/core/routing/rank_groups.py
@@ -1,9 +1,9 @@
-"""Which ranks make up which group, and which groups are known to be down.
+"""Tracks which ranks belong to which group, and which groups are down.
 
-All ranks of a group compute each pass together, so one that is cut off stops all
-of them, and none of another group. A refusal that names another rank tells that
-the refusing rank's group stands still; so does the coordinator, which asks all
-ranks. Requests go to other groups meanwhile.
+All ranks of a group compute each pass together. A rank that is cut off therefore
+stalls its whole group, but no other group. A node learns that a group is stalled
+from a refusal that names another rank of the group as its cause, or from the
+coordinator, which polls all ranks. Requests are sent to other groups in the meantime.
 """
 
 from collections.abc import Iterable
@@ -15,47 +15,51 @@
 
 __all__ = ["GroupStatus", "RankGroups", "Standing"]
 
-_TRIAL_EVERY_MS: Millis = 1_000
-"""Between two requests by which a node finds out for itself whether a group runs
-again; a coordinator tells sooner, but may be cut off."""
+_PROBE_INTERVAL_MS: Millis = 1_000
+"""Time between two requests that probe whether a group that is down runs again.
 
-_NEWS_AGE_MS: Millis = 500
-"""A rank's report is 200 ms old and looked at three times a second: what is told
-within this time of a refusal may be of before it."""
+The coordinator usually reports the recovery sooner, but it may be cut off."""
 
-_TWO_REFUSALS_MS: Millis = 500
-"""Between refusals of two ranks with room that put their group out: all ranks of a
-group that stands still refuse what they have at the same moment."""
+_MAX_STATUS_AGE_MS: Millis = 500
+"""Time after a refusal in which a status may describe the group before the refusal.
 
-_UNKNOWN = 0
-"""Stands for the group of ranks of which nobody has told yet: they are taken for
-one, as in a service that has a single group."""
+A rank's report is 200 ms old, and reports are polled three times a second."""
+
+_REFUSAL_PAIR_WINDOW_MS: Millis = 500
+"""Longest time between refusals of two ranks with room that mark their group down.
+
+All ranks of a stalled group refuse their requests at the same moment."""
+
+_UNKNOWN_GROUP = 0
+"""Group of all ranks whose group has not been reported yet.
+
+They are treated as one group, as in a service with a single group."""
 
 
 class Standing(IntEnum):
-    """Whether a group runs, by what its ranks report."""
+    """Whether a group is running, according to the reports of its ranks."""
 
     RUNS = 0
     DOWN = 1
     FORMS = 2
-    """All ranks are there again, and it runs within the time that forming takes."""
+    """All ranks are present again, and the group is forming."""
 
 
 @dataclass(frozen=True, slots=True)
 class GroupStatus:
-    """What the coordinator tells of one group.
+    """Status of one group, as its coordinator reports it.
 
     Parameters
     ----------
     service, group : int
-        Marks that stand for their names.
+        Hashes of their names.
     epoch : int
-        Rises each time the group forms anew.
+        Increases each time the group is formed again.
     standing : Standing
     ranks : tuple of int
-        Marks of its endpoints.
+        Name hashes of the group's endpoints.
     running : float or None
-        Requests that each of all its ranks runs, on average; None if not known.
+        Mean number of running requests over all ranks; None if not known.
     """
 
     service: int
@@ -67,153 +71,163 @@
 
 
 @dataclass(slots=True)
-class _Known:
-    """What is known of one group.
+class _GroupState:
+    """State of one group, as this node knows it.
 
-    ``down_since`` is None while it is not known to be down.
+    ``down_since`` is None unless the group is known to be down.
     """
 
     epoch: int = -1
     down_since: Millis | None = None
     refused_at: Millis = 0
-    tried_at: Millis = 0
+    last_probe_at: Millis = 0
     forming_since: Millis | None = None
     is_suspected: bool = False
-    served_at: Millis = -1_000_000
+    recovered_at: Millis = -1_000_000
     refused_by: str = ""
     refused_with_room_at: Millis = -1_000_000
 
 
 @dataclass(slots=True)
 class RankGroups:
-    """The groups of one service, as one node knows them."""
+    """State of all groups of one service, as one node knows it."""
 
     _group_of: dict[int, int] = field(default_factory=dict)
-    _standings: dict[int, _Known] = field(default_factory=dict)
+    _states: dict[int, _GroupState] = field(default_factory=dict)
 
     def group_of(self, endpoint: str) -> int:
-        """Return the number of an endpoint's group; 0 if it is not known."""
-        return self._group_of.get(endpoint_hash(endpoint), _UNKNOWN)
+        """Return the name hash of an endpoint's group; 0 if the group is unknown."""
+        return self._group_of.get(endpoint_hash(endpoint), _UNKNOWN_GROUP)
 
-    def update_status(self, news: GroupStatus, now: Millis) -> bool:
-        """Take in what the coordinator tells; return whether anything changed."""
-        standing = self._standing(news.group)
-        if news.epoch < standing.epoch:
+    def update_status(self, status: GroupStatus, now: Millis) -> bool:
+        """Apply a status from the coordinator; return whether anything changed."""
+        state = self._state_of(status.group)
+        if status.epoch < state.epoch:
             return False
-        formed = news.epoch > standing.epoch
-        is_old = now - standing.served_at < _NEWS_AGE_MS and not formed
-        if is_old and news.standing is not Standing.RUNS:
-            # The group has given events since: it runs, whatever ranks said before.
+        has_reformed = status.epoch > state.epoch
+        is_outdated = now - state.recovered_at < _MAX_STATUS_AGE_MS and not has_reformed
+        if is_outdated and status.standing is not Standing.RUNS:
+            # An event that arrived after the ranks' reports shows that the group runs.
             return False
-        moved = any(self._group_of.get(rank) != news.group for rank in news.ranks)
-        self._group_of.update(dict.fromkeys(news.ranks, news.group))
-        was_down = standing.down_since is not None
-        standing.epoch = news.epoch
-        if news.standing is not Standing.RUNS:
-            self._note_down(standing, now)
-            standing.tried_at = now
-        elif formed or now - standing.refused_at >= _NEWS_AGE_MS:
-            standing.down_since = None
-        if news.standing is not Standing.FORMS:
-            standing.forming_since = None
-        elif standing.forming_since is None:
-            standing.forming_since = now
-        return moved or was_down != (standing.down_since is not None)
-
-    def record_refusal(self, endpoint: str, at_fault: str, now: Millis) -> None:
-        """Note that a rank refused because of another one.
+        has_moved = any(
+            self._group_of.get(rank) != status.group for rank in status.ranks
+        )
+        self._group_of.update(dict.fromkeys(status.ranks, status.group))
+        was_down = state.down_since is not None
+        state.epoch = status.epoch
+        if status.standing is not Standing.RUNS:
+            self._mark_down(state, now)
+            state.last_probe_at = now
+        elif has_reformed or now - state.refused_at >= _MAX_STATUS_AGE_MS:
+            state.down_since = None
+        if status.standing is not Standing.FORMS:
+            state.forming_since = None
+        elif state.forming_since is None:
+            state.forming_since = now
+        return has_moved or was_down != (state.down_since is not None)
+
+    def record_refusal(self, endpoint: str, cause: str, now: Millis) -> None:
+        """Mark a group down after a rank refused a request because of another rank.
 
         Parameters
         ----------
         endpoint : str
             The rank that refused.
-        at_fault : str
-            The rank that it named; empty if that is no endpoint known here.
+        cause : str
+            The rank named as the cause; empty if it is not an endpoint known here.
         now : int
         """
         group = self.group_of(endpoint)
-        if group == _UNKNOWN and at_fault:
-            group = self.group_of(at_fault)
-        standing = self._standing(group)
-        self._note_down(standing, now)
-        standing.refused_at = standing.tried_at = now
+        if group == _UNKNOWN_GROUP and cause:
+            group = self.group_of(cause)
+        state = self._state_of(group)
+        self._mark_down(state, now)
+        state.refused_at = state.last_probe_at = now
 
     def record_refusal_with_room(self, endpoint: str, now: Millis) -> bool:
-        """Note that a rank refused although it had room; return if its group is down.
+        """Record a refusal by a rank with room; return whether its group is now down.
 
-        Ranks of a group that stands still name themselves as the cause. One rank may
-        have causes of its own, as when it is leaving: two of them within half a
-        second have the group in common.
+        Ranks of a stalled group name themselves as the cause. A single rank may refuse
+        for a reason of its own, such as leaving. Refusals of two ranks within half a
+        second are attributed to their group.
         """
-        known = self._standing(self.group_of(endpoint))
-        known.is_suspected = True
-        is_second = now - known.refused_with_room_at < _TWO_REFUSALS_MS
-        if is_second and known.refused_by != endpoint:
+        state = self._state_of(self.group_of(endpoint))
+        state.is_suspected = True
+        is_second = now - state.refused_with_room_at < _REFUSAL_PAIR_WINDOW_MS
+        if is_second and state.refused_by != endpoint:
             self.record_refusal(endpoint, "", now)
             return True
-        known.refused_by, known.refused_with_room_at = endpoint, now
+        state.refused_by, state.refused_with_room_at = endpoint, now
         return False
 
     def mark_suspected(self, endpoint: str) -> bool:
-        """Note a sign that an endpoint's group stands still; return if that is news."""
-        standing = self._standing(self.group_of(endpoint))
-        is_news = not standing.is_suspected
-        standing.is_suspected = True
-        return is_news
+        """Mark an endpoint's group as possibly stalled; return whether it was not."""
+        state = self._state_of(self.group_of(endpoint))
+        has_changed = not state.is_suspected
+        state.is_suspected = True
+        return has_changed
 
     def is_suspected(self, endpoint: str) -> bool:
-        """Whether an endpoint's group seems to stand still."""
-        standing = self._standings.get(self.group_of(endpoint))
-        return standing is not None and standing.is_suspected
+        """Whether an endpoint's group is possibly stalled."""
+        state = self._states.get(self.group_of(endpoint))
+        return state is not None and state.is_suspected
 
     def record_event(self, endpoint: str, sent_at: Millis, now: Millis) -> bool:
-        """Note an event of a request sent at ``sent_at``; return if that is news."""
-        standing = self._standing(self.group_of(endpoint))
-        was_doubted, standing.is_suspected = standing.is_suspected, False
-        if standing.down_since is None or sent_at < standing.refused_at:
-            return was_doubted
-        standing.down_since = None
-        standing.served_at = now
+        """Record an event of a request sent at ``sent_at``.
+
+        Returns
+        -------
+        bool
+            Whether the event changed the state of the group.
+        """
+        state = self._state_of(self.group_of(endpoint))
+        was_suspected, state.is_suspected = state.is_suspected, False
+        if state.down_since is None or sent_at < state.refused_at:
+            return was_suspected
+        state.down_since = None
+        state.recovered_at = now
         return True
 
     def is_down(self, endpoint: str) -> bool:
         """Whether an endpoint's group is known to be down."""
-        standing = self._standings.get(self.group_of(endpoint))
-        return standing is not None and standing.down_since is not None
+        state = self._states.get(self.group_of(endpoint))
+        return state is not None and state.down_since is not None
 
     def forming_since(self, endpoints: Iterable[str]) -> Millis | None:
-        """Return since when a group of ``endpoints`` forms anew; None if none does."""
+        """Return when a group of ``endpoints`` last began to form; None if none is."""
         groups = {self.group_of(endpoint) for endpoint in endpoints}
-        known = [each for group in groups if (each := self._standings.get(group))]
-        since = [each.forming_since for each in known if each.forming_since is not None]
-        return max(since, default=None)
+        states = [state for group in groups if (state := self._states.get(group))]
+        start_times = [
+            state.forming_since for state in states if state.forming_since is not None
+        ]
+        return max(start_times, default=None)
 
     def take_probe(self, endpoints: Iterable[str], now: Millis) -> str | None:
-        """Return an endpoint of a group that is due for a trial, if there is one.
+        """Return an endpoint of a group that is due for a probe request, if any.
 
-        What goes wrong without: the coordinator is cut off from this node, nothing
-        tells that the group runs again, and its requests are refused for ever.
+        Without probes, a node that is cut off from the coordinator would never learn
+        that a group has recovered, and would refuse its requests for ever.
         """
         for endpoint in endpoints:
-            standing = self._standings.get(self.group_of(endpoint))
-            if standing is None or standing.down_since is None:
+            state = self._states.get(self.group_of(endpoint))
+            if state is None or state.down_since is None:
                 continue
-            if now - standing.tried_at >= _TRIAL_EVERY_MS:
-                standing.tried_at = now
+            if now - state.last_probe_at >= _PROBE_INTERVAL_MS:
+                state.last_probe_at = now
                 return endpoint
         return None
 
     def retain_ranks(self, endpoints: Iterable[str]) -> None:
-        """Forget the ranks that are gone."""
-        marks = {endpoint_hash(endpoint) for endpoint in endpoints}
-        for gone in self._group_of.keys() - marks:
-            del self._group_of[gone]
+        """Forget all ranks other than ``endpoints``."""
+        hashes = {endpoint_hash(endpoint) for endpoint in endpoints}
+        for removed in self._group_of.keys() - hashes:
+            del self._group_of[removed]
 
-    def _standing(self, group: int) -> _Known:
-        return self._standings.setdefault(group, _Known())
+    def _state_of(self, group: int) -> _GroupState:
+        return self._states.setdefault(group, _GroupState())
 
     @staticmethod
-    def _note_down(standing: _Known, now: Millis) -> None:
-        if standing.down_since is None:
-            standing.down_since = now
-            standing.tried_at = now
+    def _mark_down(state: _GroupState, now: Millis) -> None:
+        if state.down_since is None:
+            state.down_since = now
+            state.last_probe_at = now
--- a/src/azurefold/core/routing/retries.py
+++ b/src/azurefold/core/routing/retries.py
@@ -1,15 +1,15 @@
-"""A budget that keeps retries a small share of the requests, in any window.
-
-When many endpoints fail, every request fails at first, and naive retries
-multiply the load on those that are left, which then fail too. Seen as load
-that stays high long after the first fault is gone. Retries paid for from
-recent first attempts cannot do that (Google SRE book, "Handling overload").
-
-The limit is on each window of time, wherever it begins, and on all nodes
-together. Both are why the budget counts steps of time exactly: a sum that
-decays lets what has decayed be spent again within the same window, up to twice
-the limit (234 retries in ten seconds where 184 were allowed, with nine nodes
-on one clock).
+"""Retry budget: limits retries to a small share of the requests in any time window.
+
+When many endpoints fail, unlimited retries multiply the load on the remaining
+endpoints until they fail too, and the load stays high long after the first fault has
+ended. A budget that is filled by recent first attempts prevents this (Google SRE book,
+"Handling overload").
+
+The limit holds for every window of time, wherever it starts, and for all nodes
+together. The budget therefore counts requests exactly, in steps of time. With a
+decaying sum, budget that has decayed could be spent again within the same window, up to
+twice the limit: nine nodes on one clock made 234 retries in ten seconds where 184 were
+allowed.
 """
 
 from collections import deque
@@ -21,16 +21,21 @@
 __all__ = ["RetryBudget", "RetryAllowance", "RetryPolicy"]
 
 _STEP_MS: Millis = 100
-"""Requests and retries are counted in steps this long: a hundred in a window of ten
-seconds, and what is lost to rounding is a hundredth of the limit."""
+"""Length of the steps in which requests and retries are counted.
+
+A window of ten seconds has a hundred steps, so rounding costs a hundredth of the
+limit."""
 
 _DELIVERY_STEPS = 5
-"""Half a second in which a retry that was paid for reaches its endpoint, with one
-packet sent again on the way."""
+"""Steps within which a granted retry reaches its endpoint.
+
+Half a second, which covers one retransmitted packet."""
+
+_SKIPPED_START_STEPS = 2
+"""Steps at the start of a window whose requests are not counted.
 
-_SKIPPED_STEPS = 2
-"""At the beginning of a window: it may begin anywhere in its first step, and a request
-is counted when it has been read, some milliseconds after it was sent."""
+A window may start anywhere within its first step, and a request is counted when it has
+been read, some milliseconds after it was sent."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,9 +45,9 @@
     Parameters
     ----------
     share : float
-        Retries allowed for each request.
+        Retries allowed per request.
     window : int
-        Milliseconds; the limit holds for each span of this length.
+        Length in milliseconds of the windows for which the limit holds.
     """
 
     share: float = 0.08
@@ -50,129 +55,133 @@
 
 
 class RetryAllowance:
-    """This node's part in the retries that are allowed beside the share of requests.
+    """This node's fixed allowance of retries, in addition to the share of requests.
 
-    A part that grows counts only after a while. What goes wrong without: somebody
-    else has just spent what the larger part is made of, within the same window. That
-    is a process that was killed and has started again, a node that has left, or one
-    that was missing on a list for a moment. Seen as more retries than all nodes may
-    make, while each keeps to its part: 198 and 303 where 184 are allowed, with nine
-    nodes that start again, and with nine that take themselves for three.
+    An increase takes effect only after the settling time, because another node may have
+    spent the same retries within the present window: an earlier process of a node that
+    has restarted, a node that has left, or one that was missing from a list for a
+    moment. With immediate increases all nodes together exceed the limit although each
+    respects its allowance: 198 retries where 184 are allowed, with nine nodes that
+    restart, and 303 with nine nodes that see only three.
 
     Parameters
     ----------
     retries : float
-        In one window.
-    settling : int, default=0
-        Milliseconds until a larger part counts.
+        Retries per window.
+    settling_ms : int, default=0
+        Milliseconds until an increase takes effect.
     now : int, default=0
         The present time.
     """
 
-    def __init__(self, retries: float, settling: Millis = 0, now: Millis = 0) -> None:
-        self._settling = settling
-        self._told = deque([(now, retries)])
+    def __init__(
+        self, retries: float, settling_ms: Millis = 0, now: Millis = 0
+    ) -> None:
+        self._settling_ms = settling_ms
+        self._history = deque([(now, retries)])
 
     def set(self, retries: float, now: Millis) -> None:
-        """Take in another part."""
-        if retries != self._told[-1][1]:
-            self._told.append((now, retries))
+        """Change the allowance."""
+        if retries != self._history[-1][1]:
+            self._history.append((now, retries))
 
     def at(self, now: Millis) -> float:
-        """Return the least part that was in force within the settling time."""
-        while len(self._told) > 1 and self._told[1][0] <= now - self._settling:
-            self._told.popleft()
-        return min(retries for _, retries in self._told)
+        """Return the smallest allowance that applied within the settling time."""
+        while len(self._history) > 1 and self._history[1][0] <= now - self._settling_ms:
+            self._history.popleft()
+        return min(retries for _, retries in self._history)
 
 
 class RetryBudget:
-    """Recent requests and the retries they pay for.
+    """Counts recent requests and retries, and grants retries within the limit.
 
     Parameters
     ----------
     policy : RetryPolicy, optional
         Size of the budget.
-    part : RetryAllowance, optional
-        Retries allowed besides, so that a quiet node can retry; 2 by default.
+    allowance : RetryAllowance, optional
+        Additional retries, so that a node with few requests can retry; 2 by default.
     """
 
     def __init__(
-        self, policy: RetryPolicy | None = None, part: RetryAllowance | None = None
+        self,
+        policy: RetryPolicy | None = None,
+        allowance: RetryAllowance | None = None,
     ) -> None:
         self._policy = policy or RetryPolicy()
-        self._allowance = part or RetryAllowance(2.0)
+        self._allowance = allowance or RetryAllowance(2.0)
         self._requests = _StepCounts()
         self._retries = _StepCounts()
 
     def set_policy(self, policy: RetryPolicy) -> None:
-        """Take in another size of the budget."""
+        """Change the size of the budget."""
         self._policy = policy
 
     def request_started(self, now: Millis) -> None:
-        """Note a request's first attempt."""
-        self._requests.add(now // _STEP_MS, self._oldest(now))
+        """Count the first attempt of a request."""
+        self._requests.add(now // _STEP_MS, self._first_needed_step(now))
 
     def left(self, now: Millis) -> float:
-        """Return how many retries the budget would pay for now.
+        """Return how many retries the budget allows now.
 
-        It is the least that any window leaves in which ``now`` can lie: those that
-        begin now, and all that began up to a window ago.
+        This is the smallest number left in any window that can contain ``now``: from
+        the window that started one window length ago to the one that starts now.
 
-        A window's requests are the mean of those within it, as far as it has passed,
-        and of those in the window that begins half a window sooner. Such a mean is
-        the same sum for one node and for all: however load moves between nodes,
-        their means add up to that of all requests, and so to no more than the
-        greater of the two. The requests of the window up to now would add up to
-        twice the load when callers move from one node to another.
+        The requests of a window are the mean of two counts: the requests within the
+        window so far, and those in the window that starts half a window earlier. Such
+        means are additive: however load moves between nodes, the means of all nodes
+        add up to the mean over all requests, and so to no more than the larger of the
+        two counts. Counting the requests of the window up to now instead would add up
+        to twice the load when callers move from one node to another.
         """
         window = self._policy.window // _STEP_MS
         half = window // 2
-        present = now // _STEP_MS
-        begin = self._oldest(now)
-        oldest = begin + half
-        starts = present + 1 - oldest
+        current_step = now // _STEP_MS
+        first_step = self._first_needed_step(now)
+        first_window_step = first_step + half
+        window_count = current_step + 1 - first_window_step
         arrival = half + _DELIVERY_STEPS
-        # By step from ``begin``; what is still to come counts nothing.
-        requests = self._requests.totals(begin, present + 1)
+        # Running totals by step from ``first_step``; future steps add nothing.
+        requests = self._requests.totals(first_step, current_step + 1)
         requests += requests[-1:] * window
-        retries = self._retries.totals(oldest, present + 1)
+        retries = self._retries.totals(first_window_step, current_step + 1)
         windows = zip(
-            requests[arrival + _SKIPPED_STEPS :],
+            requests[arrival + _SKIPPED_START_STEPS :],
             requests[arrival + window :],
-            requests[arrival - half + _SKIPPED_STEPS :],
+            requests[arrival - half + _SKIPPED_START_STEPS :],
             requests[arrival - half + window :],
-            retries[:starts],
+            retries[:window_count],
             strict=False,
         )
-        paid_each = self._policy.share / 2
-        least = min(
-            paid_each * (end - start + sooner_end - sooner_start) + made
-            for start, end, sooner_start, sooner_end, made in windows
+        half_share = self._policy.share / 2
+        smallest = min(
+            half_share * (end - start + earlier_end - earlier_start) + retries_before
+            for start, end, earlier_start, earlier_end, retries_before in windows
         )
-        return max(0.0, least - retries[-1] + self._allowance.at(now))
+        return max(0.0, smallest - retries[-1] + self._allowance.at(now))
 
     def try_retry(self, now: Millis) -> bool:
-        """Take one retry out of the budget, if it has one left."""
+        """Take one retry from the budget; return whether one was left."""
         if self.left(now) < 1.0:
             return False
-        self._retries.add(now // _STEP_MS, self._oldest(now))
+        self._retries.add(now // _STEP_MS, self._first_needed_step(now))
         return True
 
-    def _oldest(self, now: Millis) -> int:
-        """Return the first step that any window which ``now`` can lie in looks at."""
+    def _first_needed_step(self, now: Millis) -> int:
+        """Return the first step that any window containing ``now`` depends on."""
         window = self._policy.window // _STEP_MS
         return now // _STEP_MS - window - _DELIVERY_STEPS - window // 2
 
 
 class _StepCounts:
-    """Numbers of events by steps of time, the oldest forgotten."""
+    """Event counts by time step; counts of old steps are discarded."""
 
     def __init__(self) -> None:
         self._counts: deque[list[int]] = deque()
 
     def add(self, step: int, oldest: int) -> None:
-        """Count an event, and forget those before ``oldest``; steps never go back."""
-        self._forget(oldest)
+        """Count an event and discard steps before ``oldest``; steps never decrease."""
+        self._discard_before(oldest)
         if self._counts and self._counts[-1][0] >= step:
             self._counts[-1][1] += 1
         else:
@@ -181,12 +190,12 @@
     def totals(self, begin: int, end: int) -> list[int]:
         """Return the running totals from ``begin`` to ``end``; the first is 0."""
         by_step = [0] * (end - begin)
-        for step, number in self._counts:
+        for step, count in self._counts:
             if step >= begin:
-                by_step[step - begin] += number
+                by_step[step - begin] += count
         return list(accumulate(by_step, initial=0))
 
-    def _forget(self, oldest: int) -> None:
-        # Here and not where they are read: nobody reads while nothing fails.
+    def _discard_before(self, oldest: int) -> None:
+        # Called when events are added, because totals are only read after failures.
         while self._counts and self._counts[0][0] < oldest:
             self._counts.popleft()
--- a/tests/core/routing/test_ejection.py
+++ b/tests/core/routing/test_ejection.py
@@ -1,4 +1,4 @@
-"""Bad endpoints are left out for a while; good ones and most of a pool never."""
+"""Faulty endpoints are ejected for a while, healthy ones and most of a pool never."""
 
 import pytest
 
@@ -17,13 +17,13 @@
     return Ejector(EjectionPolicy())
 
 
-def fail(ejector, endpoint, times, now, size=10):
-    found = [ejector.observe_failure(endpoint, size, now) for _ in range(times)]
-    return [one for one in found if one is not None]
+def record_failures(ejector, endpoint, times, now, size=10):
+    results = [ejector.record_failure(endpoint, size, now) for _ in range(times)]
+    return [result for result in results if result is not None]
 
 
-def test_three_failures_in_a_row_eject(ejector):
-    (ejected,) = fail(ejector, "a", 3, 100)
+def test_three_consecutive_failures_eject(ejector):
+    (ejected,) = record_failures(ejector, "a", 3, 100)
     assert ejected.cause is EjectionCause.FAILING
     assert ejected.until == 5_100
     assert ejector.is_ejected("a")
@@ -31,49 +31,48 @@
 
 def test_scattered_failures_do_not_eject(ejector):
     for _ in range(200):
-        assert not fail(ejector, "a", 1, 0)
+        assert not record_failures(ejector, "a", 1, 0)
         for _ in range(4):
-            ejector.observe_success("a")
+            ejector.record_success("a")
 
 
-def test_a_return_is_on_probation_and_the_term_doubles(ejector):
-    fail(ejector, "a", 3, 0)
-    assert ejector.returned(4_999) == []
-    assert ejector.returned(5_000) == ["a"]
-    (again,) = fail(ejector, "a", 1, 5_100)
+def test_readmission_starts_probation_and_ejections_double(ejector):
+    record_failures(ejector, "a", 3, 0)
+    assert ejector.readmit_due(4_999) == []
+    assert ejector.readmit_due(5_000) == ["a"]
+    (again,) = record_failures(ejector, "a", 1, 5_100)
     assert again.until == 5_100 + 10_000
 
 
-def test_the_term_has_a_longest(ejector):
+def test_ejections_have_a_maximum_duration(ejector):
     now = 0
     for _ in range(40):
-        (ejected,) = fail(ejector, "a", 3, now)[:1]
+        (ejected,) = record_failures(ejector, "a", 3, now)[:1]
         assert ejected.until - now <= 120_000
         now = ejected.until
-        ejector.returned(now)
+        ejector.readmit_due(now)
 
 
-def test_a_fault_everywhere_leaves_most_of_the_pool(ejector):
-    """All endpoints of a pool are ejected while every engine runs.
+def test_fault_of_all_endpoints_ejects_only_a_share_of_the_pool(ejector):
+    """Guards against the ejection of all endpoints while every engine runs.
 
-    Sequence: one bad prompt fails on each endpoint it is tried on. Cause:
-    ejection without a cap. The mutant shows it.
+    One bad prompt fails on each endpoint. The mutant has no limit on the ejected share.
     """
-    everywhere = [f"endpoint-{number}" for number in range(10)]
-    for endpoint in everywhere:
-        fail(ejector, endpoint, 5, 0)
+    all_endpoints = [f"endpoint-{number}" for number in range(10)]
+    for endpoint in all_endpoints:
+        record_failures(ejector, endpoint, 5, 0)
     assert len(ejector.ejected) == 4
     mutant = Ejector(EjectionPolicy(max_share=1.0))
-    for endpoint in everywhere:
-        fail(mutant, endpoint, 5, 0)
+    for endpoint in all_endpoints:
+        record_failures(mutant, endpoint, 5, 0)
     assert len(mutant.ejected) == 10
 
 
-def test_a_stuck_endpoint_is_ejected_though_it_reports_nothing(pool, names):
-    """Requests vanish in an endpoint that neither fails nor answers.
+def test_stuck_endpoint_without_outcomes_is_ejected(pool, names):
+    """Guards against an endpoint that neither fails nor answers.
 
-    Sequence: its engine hangs with requests waiting, and no outcome comes.
-    Cause: health is learnt from outcomes only.
+    If an engine hangs while requests wait, no outcome shows it, so that health based
+    on outcomes alone never changes.
     """
     for name in names:
         pool.record_start(name, "a", 0)
@@ -84,7 +83,7 @@
     assert (ejected.endpoint, ejected.cause) == (names[0], EjectionCause.STUCK)
 
 
-def test_a_slow_endpoint_is_ejected_and_judged_afresh(pool, names):
+def test_slow_endpoint_is_ejected_and_starts_afresh(pool, names):
     for number in range(12):
         for name in names:
             step = 100 if name == names[0] else 20
@@ -98,7 +97,7 @@
     assert pool.limit(names[0]) == 1
 
 
-def test_a_busy_endpoint_that_answers_is_not_stuck(pool, names):
+def test_busy_endpoint_that_answers_is_not_stuck(pool, names):
     for number in range(10):
         pool.record_start(names[0], str(number), 0)
     for number in range(9):
@@ -106,11 +105,11 @@
         assert pool.tick(number * 1_000 + 900) == ()
 
 
-def test_an_endpoint_that_fails_at_once_draws_no_traffic(pool, names):
-    """Most requests go to the one endpoint that fails.
+def test_endpoint_that_fails_at_once_is_avoided(pool, names):
+    """Guards against sending most requests to the one endpoint that fails.
 
-    Sequence: it answers each with an error at once, so it is always idle.
-    Cause: the expected wait counts load alone.
+    It answers each request with an error at once, so it is always idle. The expected
+    wait must not depend on the load alone.
     """
     pool.record_start(names[0], "a", 0)
     pool.record_end(names[0], "a", Failed(), 1)
@@ -121,11 +120,11 @@
     assert chosen.endpoint != names[0]
 
 
-def test_a_recovered_endpoint_is_tried_again(pool, names):
-    """A healthy endpoint idles after one chance failure.
+def test_recovered_endpoint_is_chosen_again(pool, names):
+    """Guards against a healthy endpoint that stays idle after one accidental failure.
 
-    Sequence: it fails once and is avoided, so nothing shows its recovery.
-    Cause: a failure rate that only a success can lower.
+    The endpoint fails once and is avoided. If only a success lowered its failure rate,
+    nothing would show its recovery.
     """
     pool.record_start(names[0], "a", 0)
     pool.record_end(names[0], "a", Failed(), 1)
--- a/tests/core/routing/test_loads_are_exchanged.py
+++ b/tests/core/routing/test_exchanged_loads.py
@@ -1,4 +1,4 @@
-"""Nodes that tell each other their loads fill endpoints evenly and never over."""
+"""Nodes that exchange their loads fill endpoints evenly and never beyond the limit."""
 
 import pytest
 
@@ -19,13 +19,13 @@
 
 @pytest.fixture
 def pool():
-    pool = Pool(PoolPolicy(reserve=0.0, sharing=ExchangedLoads(beyond_slots=1)))
+    pool = Pool(PoolPolicy(reserve=0.0, sharing=ExchangedLoads(extra_requests=1)))
     pool.set_endpoints(["a", "b", "c"], now=0)
     pool.set_slots(SLOTS)
     return pool
 
 
-def take(pool, attempt, now=0, draw=0.0, exclude=frozenset()):
+def send_request(pool, attempt, now=0, draw=0.0, exclude=frozenset()):
     request = RouteRequest(exclude=exclude)
     chosen = pool.choose(request, (draw, draw), now)
     if isinstance(chosen, Chosen):
@@ -35,57 +35,57 @@
 
 
 def test_requests_are_spread_over_all_endpoints(pool):
-    taken = [take(pool, f"r{number}") for number in range(9)]
-    assert {name: taken.count(name) for name in "abc"} == {"a": 3, "b": 3, "c": 3}
+    endpoints = [send_request(pool, f"r{number}") for number in range(9)]
+    assert {name: endpoints.count(name) for name in "abc"} == {"a": 3, "b": 3, "c": 3}
 
 
-def test_others_requests_count_like_own_ones(pool):
+def test_requests_of_other_nodes_count_like_own_requests(pool):
     pool.record_load("a", LoadReport(3, 0), now=0)
     pool.record_load("b", LoadReport(1, 0), now=0)
     pool.record_load("c", LoadReport(0, 0), now=0)
-    taken = [take(pool, f"r{number}") for number in range(3)]
-    assert taken[0] == "c"
-    assert sorted(taken) == ["b", "c", "c"]
+    endpoints = [send_request(pool, f"r{number}") for number in range(3)]
+    assert endpoints[0] == "c"
+    assert sorted(endpoints) == ["b", "c", "c"]
 
 
-def test_a_full_endpoint_gets_no_more(pool):
+def test_full_endpoint_gets_no_requests(pool):
     for name in "abc":
         pool.record_load(name, LoadReport(SLOTS + 1, 0), now=0)
-    assert take(pool, "r") is None
+    assert send_request(pool, "r") is None
 
 
-def test_an_endpoint_that_refused_is_taken_for_full_until_the_next_report(pool):
+def test_refusal_marks_an_endpoint_full_until_the_next_report(pool):
     pool.record_load("a", LoadReport(0, 0), now=0)
     pool.record_load("b", LoadReport(1, 0), now=0)
     pool.record_load("c", LoadReport(1, 0), now=0)
-    assert take(pool, "r1") == "a"
+    assert send_request(pool, "r1") == "a"
     pool.record_end("a", "r1", Refused(), now=5)
-    assert take(pool, "r2", now=6) != "a"
+    assert send_request(pool, "r2", now=6) != "a"
     pool.record_load("a", LoadReport(0, 0), now=100)
-    assert take(pool, "r3", now=101) == "a"
+    assert send_request(pool, "r3", now=101) == "a"
 
 
-def test_a_nearer_endpoint_is_taken_among_equals(pool):
+def test_nearer_endpoint_is_preferred_at_equal_load(pool):
     pool.set_distance("a", 30)
     pool.set_distance("b", 30)
-    assert {take(pool, f"r{n}", draw=n / 3) for n in range(1)} == {"c"}
+    assert {send_request(pool, f"r{n}", draw=n / 3) for n in range(1)} == {"c"}
 
 
-def test_places_are_given_back(pool):
+def test_ended_attempts_free_their_slots(pool):
     for number in range(3 * (SLOTS + 1)):
-        assert take(pool, f"r{number}") is not None
-    assert take(pool, "late") is None
+        assert send_request(pool, f"r{number}") is not None
+    assert send_request(pool, "late") is None
     pool.record_end("b", "r1", Answered(3), now=50)
     assert pool.loads["b"] == SLOTS
-    assert take(pool, "next", now=60) == "b"
+    assert send_request(pool, "next", now=60) == "b"
 
 
 def digest(node, sequence, loads, incarnation=1):
-    marks = {endpoint_hash(name): load for name, load in loads.items()}
-    return LoadDigest(node, incarnation, sequence, marks)
+    loads_by_hash = {endpoint_hash(name): load for name, load in loads.items()}
+    return LoadDigest(node, incarnation, sequence, loads_by_hash)
 
 
-def test_sums_follow_the_last_digest_of_each_node():
+def test_sums_use_the_last_digest_of_each_node():
     loads = PeerLoads()
     loads.receive(digest("n1", 1, {"a": 2, "b": 1}), now=0)
     loads.receive(digest("n2", 1, {"a": 3}), now=0)
@@ -97,7 +97,7 @@
     )
 
 
-def test_a_digest_that_was_overtaken_is_dropped():
+def test_outdated_digest_is_ignored():
     loads = PeerLoads()
     assert loads.receive(digest("n1", 2, {"a": 1}), now=0)
     assert not loads.receive(digest("n1", 1, {"a": 9}), now=1)
@@ -106,8 +106,8 @@
     assert loads.requests_at("a") == 2
 
 
-def test_a_silent_node_counts_no_longer():
-    """An endpoint stays full in the eyes of all for requests of a dead node."""
+def test_digest_of_a_silent_node_expires():
+    """Guards against an endpoint that looks full because of requests of a dead node."""
     loads = PeerLoads()
     loads.receive(digest("n1", 1, {"a": 5}), now=0)
     loads.receive(digest("n2", 1, {"a": 1}), now=1_000)
--- a/tests/core/routing/test_pool_prefers_the_least_wait.py
+++ b/tests/core/routing/test_pool_choice.py
@@ -1,4 +1,4 @@
-"""Load, reports, speed and cached prefixes move the choice."""
+"""Load, reports, speed and cached prefixes influence the choice."""
 
 from random import Random
 
@@ -18,7 +18,7 @@
 REQUEST = RouteRequest()
 
 
-def choices(pool, now, request=REQUEST, times=400):
+def count_choices(pool, now, request=REQUEST, times=400):
     random = Random(7)
     chosen = [
         pool.choose(request, (random.random(), random.random()), now).endpoint
@@ -27,58 +27,58 @@
     return {name: chosen.count(name) for name in pool.endpoints}
 
 
-def occupy(pool, endpoint, count, now=0):
+def start_attempts(pool, endpoint, count, now=0):
     for number in range(count):
         pool.record_start(endpoint, f"{endpoint}/{number}", now)
 
 
-def test_own_attempts_repel_at_once(pool, names):
-    occupy(pool, names[0], 10)
-    assert choices(pool, 0)[names[0]] == 0
+def test_own_attempts_count_at_once(pool, names):
+    start_attempts(pool, names[0], 10)
+    assert count_choices(pool, 0)[names[0]] == 0
 
 
-def test_a_report_of_others_repels(pool, names):
+def test_reported_load_counts(pool, names):
     for name in names:
         pool.record_load(name, LoadReport(30 if name == names[0] else 0, 16), 0)
-    assert choices(pool, 0)[names[0]] == 0
+    assert count_choices(pool, 0)[names[0]] == 0
 
 
 def test_own_attempts_in_a_late_report_are_not_counted_twice(names):
-    """A busy endpoint looks twice as busy.
+    """Guards against a busy endpoint that looks twice as busy.
 
-    Sequence: ten own attempts go out, and a report measured after them comes
-    back two seconds later. Cause: its figure includes those ten.
+    Ten own attempts are sent, and a report measured afterwards, which includes them,
+    arrives two seconds later.
     """
-    two = Pool()
-    two.set_endpoints(names[:2], 0)
-    occupy(two, names[0], 10, now=1_000)
-    two.record_load(names[0], LoadReport(10, 16, age=1_500), 3_000)
-    occupy(two, names[1], 11, now=3_000)
-    two.record_load(names[1], LoadReport(11, 16), 3_000)
-    assert choices(two, 3_000)[names[0]] == 400
+    pool_of_two = Pool()
+    pool_of_two.set_endpoints(names[:2], 0)
+    start_attempts(pool_of_two, names[0], 10, now=1_000)
+    pool_of_two.record_load(names[0], LoadReport(10, 16, age=1_500), 3_000)
+    start_attempts(pool_of_two, names[1], 11, now=3_000)
+    pool_of_two.record_load(names[1], LoadReport(11, 16), 3_000)
+    assert count_choices(pool_of_two, 3_000)[names[0]] == 400
 
 
-def test_an_overtaken_report_changes_nothing(pool, names):
+def test_outdated_report_is_ignored(pool, names):
     pool.record_load(names[0], LoadReport(0, 16, age=0), 2_000)
     pool.record_load(names[0], LoadReport(40, 16, age=1_500), 2_001)
-    assert choices(pool, 2_001)[names[0]] > 0
+    assert count_choices(pool, 2_001)[names[0]] > 0
 
 
-def test_an_old_report_loses_its_weight(pool, names):
-    """Every node sends to the endpoint that was idle some seconds ago.
+def test_weight_of_a_report_decays(pool, names):
+    """Guards against sending all requests to an endpoint that was idle seconds ago.
 
-    Sequence: one endpoint reports itself idle, the others busy; then reports
-    stop. Cause: the old figure is believed for ever.
+    One endpoint reports that it is idle and the others that they are busy; then the
+    reports stop. An old report must not determine the choice for ever.
     """
     for name in names:
         pool.record_load(name, LoadReport(0 if name == names[0] else 24, 16), 0)
-    fresh = choices(pool, 0)[names[0]]
-    occupy(pool, names[0], 2, now=60_000)
+    fresh = count_choices(pool, 0)[names[0]]
+    start_attempts(pool, names[0], 2, now=60_000)
     assert fresh > 40
-    assert choices(pool, 60_000)[names[0]] == 0
+    assert count_choices(pool, 60_000)[names[0]] == 0
 
 
-def test_a_straggler_gets_less(pool, names):
+def test_slow_endpoint_gets_fewer_requests(pool, names):
     now = 0
     for number in range(40):
         for name in names:
@@ -87,18 +87,18 @@
             pool.record_first_token(name, str(number), now + 50)
             pool.record_end(name, str(number), Answered(11), now + 50 + 10 * step)
         now += 1_000
-    assert choices(pool, now)[names[0]] == 0
+    assert count_choices(pool, now)[names[0]] == 0
 
 
-def test_a_cached_prefix_attracts_until_its_holder_is_full(pool, names):
+def test_endpoint_with_a_cached_prefix_is_preferred_until_full(pool, names):
     request = RouteRequest((Prefix(9, 800),), 1_000)
     pool.prefix_cached(names[3], 9, 0)
-    assert choices(pool, 0, request)[names[3]] == 400
-    occupy(pool, names[3], 16)
-    assert choices(pool, 0, request)[names[3]] == 0
+    assert count_choices(pool, 0, request)[names[3]] == 400
+    start_attempts(pool, names[3], 16)
+    assert count_choices(pool, 0, request)[names[3]] == 0
 
 
-def test_an_answer_teaches_which_endpoint_holds_its_prefix(pool, names):
+def test_first_token_adds_a_prefix_hint(pool, names):
     request = RouteRequest((Prefix(9, 800),), 1_000)
     pool.record_start(names[5], "a", 0, request)
     pool.record_first_token(names[5], "a", 90)
@@ -106,7 +106,7 @@
     assert pool.choose(request, (0.0, 0.1), 300) == Chosen(names[5], 800)
 
 
-def test_a_hint_expires_and_an_eviction_removes_it(pool, names):
+def test_prefix_hints_expire_and_evictions_remove_them(pool, names):
     request = RouteRequest((Prefix(9, 800),), 1_000)
     pool.prefix_cached(names[3], 9, 0)
     assert pool.choose(request, (0.0, 0.1), 60_000).cached_tokens == 0
@@ -116,17 +116,17 @@
 
 
 @pytest.mark.parametrize("draw", [0.0, 0.5, 0.999])
-def test_the_reason_for_no_choice_is_named(names, draw):
+def test_reason_for_no_choice_is_reported(names, draw):
     pool = Pool()
-    none = pool.choose(REQUEST, (draw, draw), 0)
-    assert isinstance(none, NoneAvailable)
-    assert none.reason is Unavailable.NO_ENDPOINTS
+    choice = pool.choose(REQUEST, (draw, draw), 0)
+    assert isinstance(choice, NoneAvailable)
+    assert choice.reason is Unavailable.NO_ENDPOINTS
     pool.set_endpoints(names[:2], 0)
     excluded = RouteRequest(exclude=frozenset(names))
-    none = pool.choose(excluded, (draw, draw), 0)
-    assert none.reason is Unavailable.ALL_EXCLUDED
-    occupy(pool, names[0], 16)
-    occupy(pool, names[1], 16)
+    choice = pool.choose(excluded, (draw, draw), 0)
+    assert choice.reason is Unavailable.ALL_EXCLUDED
+    start_attempts(pool, names[0], 16)
+    start_attempts(pool, names[1], 16)
     assert pool.choose(REQUEST, (draw, draw), 0).reason is Unavailable.ALL_FULL
     pool.set_endpoints(names[:2], 0, leaving=names)
     assert pool.choose(REQUEST, (draw, draw), 0).reason is Unavailable.ALL_LEAVING
--- a/tests/core/routing/test_pool_never_chooses_wrongly.py
+++ b/tests/core/routing/test_pool_invariants.py
@@ -1,4 +1,4 @@
-"""Whatever happens, the pool chooses only endpoints that may take a request."""
+"""In any sequence of events, the pool chooses only endpoints that may be chosen."""
 
 import pytest
 from hypothesis import Phase, settings
@@ -31,8 +31,8 @@
 outcomes = st.sampled_from(
     [Answered(30), Failed(), TimedOut(), Refused(), Cancelled(), Failed()]
 )
-# A mutant need only be found, so its example is not made small.
-SEARCH = settings(
+# A mutant only has to be detected, so its failing example is not shrunk.
+MUTANT_SEARCH = settings(
     derandomize=True,
     database=None,
     deadline=None,
@@ -43,7 +43,7 @@
 
 
 class PoolMachine(RuleBasedStateMachine):
-    """Joins, leavings, failures and choices in any order."""
+    """Membership changes, failures and choices in any order."""
 
     def __init__(self):
         super().__init__()
@@ -52,15 +52,15 @@
         self.members = set(NAMES)
         self.leaving = set()
         self.attempts = {}
-        self.count = 0
+        self.attempt_count = 0
         self.pool.set_endpoints(NAMES, 0)
 
     def make_pool(self):
         return Pool()
 
-    @rule(by=st.integers(1, 8_000))
-    def time_passes(self, by):
-        self.now += by
+    @rule(elapsed=st.integers(1, 8_000))
+    def time_passes(self, elapsed):
+        self.now += elapsed
         self.pool.tick(self.now)
 
     @rule(endpoint=names)
@@ -75,11 +75,13 @@
         self.leaving &= members
 
     @rule(
-        pair=draws, exclude=st.frozensets(names, max_size=3), prefix=st.integers(1, 3)
+        draw_pair=draws,
+        exclude=st.frozensets(names, max_size=3),
+        prefix=st.integers(1, 3),
     )
-    def choose(self, pair, exclude, prefix):
+    def choose(self, draw_pair, exclude, prefix):
         request = RouteRequest((Prefix(prefix, 100),), 200, exclude)
-        chosen = self.pool.choose(request, pair, self.now)
+        chosen = self.pool.choose(request, draw_pair, self.now)
         if not isinstance(chosen, Chosen):
             assert chosen.retry_after_ms > 0
             return
@@ -88,21 +90,21 @@
         assert name not in self.leaving
         assert name not in exclude
         assert name not in self.pool.ejected
-        in_flight = sum(1 for at in self.attempts.values() if at == name)
+        in_flight = sum(1 for endpoint in self.attempts.values() if endpoint == name)
         assert in_flight < self.pool.limit(name)
-        self.count += 1
-        self.attempts[str(self.count)] = name
-        self.pool.record_start(name, str(self.count), self.now, request)
+        self.attempt_count += 1
+        self.attempts[str(self.attempt_count)] = name
+        self.pool.record_start(name, str(self.attempt_count), self.now, request)
 
     @precondition(lambda self: self.attempts)
-    @rule(data=st.data(), outcome=outcomes, began=st.booleans())
-    def finish(self, data, outcome, began):
+    @rule(data=st.data(), outcome=outcomes, has_first_token=st.booleans())
+    def finish(self, data, outcome, has_first_token):
         attempt_id = data.draw(st.sampled_from(sorted(self.attempts)))
         name = self.attempts.pop(attempt_id)
-        if began:
+        if has_first_token:
             self.pool.record_first_token(name, attempt_id, self.now)
         self.pool.record_end(name, attempt_id, outcome, self.now)
-        # A doubled message must not be counted twice.
+        # A duplicate message must not be counted twice.
         self.pool.record_end(name, attempt_id, outcome, self.now)
 
     @rule(endpoint=names, load=st.integers(0, 60), age=st.integers(0, 5_000))
@@ -114,14 +116,14 @@
         assert self.pool.in_flight == len(self.attempts)
 
     @invariant()
-    def sums_up_the_room(self):
+    def totals_match_the_room_of_eligible_endpoints(self):
         eligible = self.members - self.leaving - self.pool.ejected
         known = self.pool._members.by_name
         assert self.pool.room == sum(known[name].room for name in eligible)
 
     @invariant()
-    def keeps_most_of_the_pool(self):
-        # The share is of the pool at the time of ejection; members may go later.
+    def ejects_at_most_the_allowed_share(self):
+        # The share refers to the pool at the time of ejection; members may leave later.
         if len(self.members) == len(NAMES):
             assert len(self.pool.ejected) <= 2
 
@@ -129,23 +131,23 @@
 TestPool = PoolMachine.TestCase
 
 
-class IgnoresLeaving(PoolMachine):
-    """The pool is not told that an endpoint leaves."""
+class IgnoresLeavingEndpoints(PoolMachine):
+    """Mutant: the pool is not informed that an endpoint is leaving."""
 
     @rule(endpoint=names)
     def leave(self, endpoint):
         self.leaving |= {endpoint} & self.members
 
 
-class EjectsWithoutCap(PoolMachine):
-    """The whole pool may be ejected."""
+class EjectsWithoutLimit(PoolMachine):
+    """Mutant: the whole pool may be ejected."""
 
     def make_pool(self):
         return Pool(PoolPolicy(ejection=EjectionPolicy(max_share=1.0)))
 
 
-class CountsRepeats(PoolMachine):
-    """An attempt that ended is taken for one that goes on."""
+class CountsEndedAttempts(PoolMachine):
+    """Mutant: an attempt that has ended still counts as in flight."""
 
     @precondition(lambda self: self.attempts)
     @rule(data=st.data())
@@ -153,7 +155,9 @@
         del self.attempts[data.draw(st.sampled_from(sorted(self.attempts)))]
 
 
-@pytest.mark.parametrize("mutant", [IgnoresLeaving, EjectsWithoutCap, CountsRepeats])
-def test_the_machine_finds_each_mutant(mutant):
+@pytest.mark.parametrize(
+    "mutant", [IgnoresLeavingEndpoints, EjectsWithoutLimit, CountsEndedAttempts]
+)
+def test_state_machine_detects_each_mutant(mutant):
     with pytest.raises(AssertionError):
-        run_state_machine_as_test(mutant, settings=SEARCH)
+        run_state_machine_as_test(mutant, settings=MUTANT_SEARCH)
--- a/tests/core/routing/test_retry_budget.py
+++ b/tests/core/routing/test_retry_budget.py
@@ -9,8 +9,8 @@
 from azurefold.core.routing.retries import RetryBudget, RetryPolicy
 
 
-def added_load(budget):
-    """Return retries over requests while a third of the attempts fail."""
+def retry_ratio(budget):
+    """Return the ratio of retries to requests while a third of the attempts fail."""
     random = Random(3)
     retries = 0
     for number in range(6_000):
@@ -21,19 +21,18 @@
     return retries / 6_000
 
 
-def test_a_third_of_failures_adds_less_than_a_tenth():
-    """Load stays high after a fault is gone.
+def test_one_third_failures_adds_less_than_a_tenth():
+    """Guards against load that stays high after a fault has ended.
 
-    Sequence: a third of the endpoints fails, each failure is tried again, and
-    the retries fill the endpoints that are left. Cause: retries without a
-    budget, as the mutant shows.
+    A third of the endpoints fails, each failure is retried, and the retries overload
+    the remaining endpoints. The mutant has a budget that is too large to limit them.
     """
-    assert added_load(RetryBudget()) < 0.10
+    assert retry_ratio(RetryBudget()) < 0.10
     with pytest.raises(AssertionError):
-        assert added_load(RetryBudget(RetryPolicy(share=10.0))) < 0.10
+        assert retry_ratio(RetryBudget(RetryPolicy(share=10.0))) < 0.10
 
 
-def test_a_quiet_node_may_retry_now_and_then():
+def test_node_with_few_requests_can_retry():
     budget = RetryBudget()
     assert budget.try_retry(0)
     assert budget.try_retry(0)
@@ -42,7 +41,7 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 500), st.booleans()), max_size=300))
-def test_any_order_of_requests_and_retries_stays_in_budget(events):
+def test_any_sequence_of_requests_and_retries_stays_in_budget(events):
     budget = RetryBudget()
     now = requests = retries = 0
     for elapsed, is_retry in events:
@@ -56,33 +55,33 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 500), st.integers(0, 12)), max_size=300))
-def test_no_window_has_more_retries_than_are_allowed(events):
-    """Retries in some ten seconds exceed the limit, though all since the start do not.
+def test_no_window_exceeds_the_retry_limit(events):
+    """Guards against exceeding the limit within a window of ten seconds.
 
-    The budget was spent, and what had decayed of it was spent again at once: within
-    the same window, up to twice the limit.
+    With a decaying sum, budget that had decayed was spent again within the same window,
+    up to twice the limit, although the total since the start was within the limit.
     """
     budget = RetryBudget()
     now = 0
     requests, retries = [], []
-    for elapsed, wanted in events:
+    for elapsed, retry_attempts in events:
         now += elapsed
         budget.request_started(now)
         requests.append(now)
-        retries += [now for _ in range(wanted) if budget.try_retry(now)]
+        retries += [now for _ in range(retry_attempts) if budget.try_retry(now)]
     for start in retries:
-        made = sum(start <= at < start + 10_000 for at in retries)
-        counted = max(
-            sum(start - sooner <= at < start - sooner + 10_000 for at in requests)
-            for sooner in (0, 5_000)
+        retry_count = sum(start <= at < start + 10_000 for at in retries)
+        request_count = max(
+            sum(start - shift <= at < start - shift + 10_000 for at in requests)
+            for shift in (0, 5_000)
         )
-        assert made <= 0.08 * counted + 2
+        assert retry_count <= 0.08 * request_count + 2
 
 
-def test_what_no_window_needs_is_forgotten():
-    """A process grows by the hour while nothing fails.
+def test_old_counts_are_discarded():
+    """Guards against memory that grows while nothing fails.
 
-    Requests were forgotten only when a retry was asked for.
+    Old request counts were discarded only when a retry was requested.
     """
     budget = RetryBudget()
     for now in range(0, 3_600_000, 50):
--- a/tests/gateway/test_retries_of_all_gateways_stay_allowed.py
+++ b/tests/gateway/test_retries_of_all_gateways_stay_allowed.py
@@ -202,7 +202,9 @@
 
 
 def parts_that_grow_at_once(monkeypatch):
-    monkeypatch.setattr(RetryAllowance, "at", lambda part, now: part._told[-1][1])
+    monkeypatch.setattr(
+        RetryAllowance, "at", lambda allowance, now: allowance._history[-1][1]
+    )
 
 
 def a_share_of_what_has_arrived(monkeypatch):
