--- a/src/azurefold/core/balance/candidates.py
+++ b/src/azurefold/core/balance/candidates.py
@@ -13,7 +13,11 @@
 """Ranks whose time is within this fraction of the slowest count as slowest too."""
 
 _MAX_FAST_RANKS = 4
+"""Number of fastest ranks to which experts of the slowest ranks may move."""
+
 _MAX_HOT_EXPERTS = 6
+"""Number of experts for which replicas are considered."""
+
 _MAX_EVICTIONS_PER_RANK = 2
 _MAX_REPLICATIONS = 3
 _MAX_SWAPS = 2
@@ -38,7 +42,7 @@
     Parameters
     ----------
     state : LayerLoads
-        Loads after the shares have been split.
+        Loads of the layer, with each expert's load already split over its replicas.
     slots_per_rank : int
         Experts whose weights fit on one rank.
     split : ReplicaSplit
@@ -58,14 +62,17 @@
 
 def count_slowest_ranks(state: LayerLoads) -> int:
     """Return how many ranks are the slowest, within ``_SLOWEST_TOLERANCE``."""
-    limit = state.slowest_time * (1.0 - _SLOWEST_TOLERANCE)
+    min_slow_time = state.slowest_time * (1.0 - _SLOWEST_TOLERANCE)
     pairs = zip(state.rank_loads, state.speeds, strict=True)
-    return sum(load / speed >= limit for load, speed in pairs)
+    return sum(load / speed >= min_slow_time for load, speed in pairs)
 
 
 @dataclass(frozen=True, slots=True)
 class _RankView:
-    """The state of a layer indexed by rank."""
+    """The state of a layer by rank, with the slowest and the fastest ranks.
+
+    ``slow_ranks`` starts with the slowest rank, ``fast_ranks`` with the fastest one.
+    """
 
     state: LayerLoads
     slots_per_rank: int
@@ -83,9 +90,11 @@
     pairs = zip(state.rank_loads, state.speeds, strict=True)
     times = [load / speed for load, speed in pairs]
     order = sorted(range(len(times)), key=lambda rank: (times[rank], rank))
-    limit = times[order[-1]] * (1.0 - _SLOWEST_TOLERANCE)
-    slow_ranks = [rank for rank in reversed(order) if times[rank] >= limit]
-    fast_ranks = [rank for rank in order if times[rank] < limit][:_MAX_FAST_RANKS]
+    min_slow_time = times[order[-1]] * (1.0 - _SLOWEST_TOLERANCE)
+    slow_ranks = [rank for rank in reversed(order) if times[rank] >= min_slow_time]
+    fast_ranks = [rank for rank in order if times[rank] < min_slow_time][
+        :_MAX_FAST_RANKS
+    ]
     return _RankView(
         state, slots_per_rank, experts_by_rank, times, slow_ranks, fast_ranks
     )
--- a/src/azurefold/core/balance/greedy_search.py
+++ b/src/azurefold/core/balance/greedy_search.py
@@ -14,14 +14,16 @@
 
 __all__ = ["GreedySearch", "ReplicaChange", "new_greedy_search"]
 
-_MAX_EXPERTS = 4
-"""Hottest experts of the slowest rank to replicate; others would relieve it little."""
+_MAX_REPLICATED_EXPERTS = 4
+"""Number of the slowest rank's hottest experts for which replicas are tried. Replicas
+of others would relieve the rank only a little."""
 
-_MAX_TARGETS = 6
-"""Fastest ranks, among those that may still load weights, to replicate to."""
+_MAX_TARGET_RANKS = 6
+"""Number of ranks on which a replica is tried: the fastest ones that may still load
+weights."""
 
 _IMPROVEMENT_FACTOR = 1.0 - 1e-9
-"""A change must bring the slowest time below this fraction of the present one."""
+"""A change must reduce the time of the slowest rank below this fraction of itself."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -92,7 +94,7 @@
     def relieve_slowest_rank(
         self, max_per_rank: int, full_ranks: Collection[int] = ()
     ) -> bool:
-        """Apply the best change for the slowest rank.
+        """Apply the change that minimises the time of the slowest affected rank.
 
         Parameters
         ----------
@@ -133,7 +135,7 @@
             self.experts_by_rank[slowest], key=self._replica_load, reverse=True
         )
         targets = self._find_targets(max_per_rank, full_ranks)
-        for expert in hottest[:_MAX_EXPERTS]:
+        for expert in hottest[:_MAX_REPLICATED_EXPERTS]:
             for rank in targets:
                 if rank not in self.hosts[expert]:
                     yield from self._list_additions(rank, expert)
@@ -162,7 +164,7 @@
             for rank, weight_loads in enumerate(self._weight_loads)
             if weight_loads < max_per_rank and rank not in full_ranks
         ]
-        return sorted(eligible, key=self._time)[:_MAX_TARGETS]
+        return sorted(eligible, key=self._time)[:_MAX_TARGET_RANKS]
 
     def _replica_load(self, expert: int) -> float:
         return self.rates[expert] / len(self.hosts[expert])
--- a/src/azurefold/core/balance/move_search.py
+++ b/src/azurefold/core/balance/move_search.py
@@ -1,4 +1,4 @@
-"""Decides which moves are worth their cost, as an alternative to full re-packing."""
+"""Finds single moves that are worth their cost, instead of re-packing a layer."""
 
 import math
 from collections.abc import Sequence
@@ -25,9 +25,13 @@
 
 __all__ = ["compute_cost", "propose_layer", "propose_rebalance"]
 
-_TRIAL_SWEEPS = 6
+_MAX_SWEEPS_PER_TRIAL = 6
+"""Sweeps over the replicas' shares in the trial of a move."""
+
 _MAX_ROUNDS = 3
-_MAX_TRIALS = 10
+"""Rounds per layer; each accepts one move, or two moves that pay only together."""
+
+_MAX_TRIALS_PER_LAYER = 10
 
 
 def compute_cost(
@@ -242,14 +246,14 @@
         moves = find_candidate_moves(start, slots_per_rank, self.policy.split)
         # A trial takes about a millisecond. Without a limit, a badly skewed layer
         # would delay all others. The next decision tries the remaining moves.
-        moves = moves[: _MAX_TRIALS - self.trial_count]
+        moves = moves[: _MAX_TRIALS_PER_LAYER - self.trial_count]
         self.trial_count += len(moves)
         return [self._try_move(move, start) for move in moves]
 
     def _try_move(self, move: Move, start: LayerLoads) -> _Trial:
         state = start.copy()
         apply_move(state, move)
-        _split_loads(state, self.policy.split, _TRIAL_SWEEPS)
+        _split_loads(state, self.policy.split, _MAX_SWEEPS_PER_TRIAL)
         excess_reduction = self.state.excess - state.excess
         gain = self.policy.excess_cost * excess_reduction
         weight_loads = count_weight_loads(move)
--- a/src/azurefold/core/balance/moves.py
+++ b/src/azurefold/core/balance/moves.py
@@ -66,7 +66,7 @@
 
 
 def apply_move(state: LayerLoads, move: Move) -> None:
-    """Change the hosts in ``state``; the caller has to split the loads again.
+    """Change the hosts in ``state``; the caller has to split the experts' loads again.
 
     Until then an added replica has no load. The load of a removed replica is added
     to the last of the remaining hosts.
--- a/src/azurefold/core/balance/plan.py
+++ b/src/azurefold/core/balance/plan.py
@@ -1,4 +1,4 @@
-"""Plans the maps of all layers, step by step within the limits of one change."""
+"""Plans the placements of all layers within the limits of one map change."""
 
 from collections.abc import Collection, Iterator, Sequence
 from dataclasses import dataclass
@@ -106,7 +106,10 @@
 
 
 def compute_layer_skew(placement: Placement, rates: Sequence[float]) -> float:
-    """Return the load of the most loaded rank over the mean load."""
+    """Return the skew of a layer if all ranks are equally fast.
+
+    This is the load of the most loaded rank over the mean load.
+    """
     loads = assign_evenly(placement).rank_loads(rates)
     mean = sum(loads) / len(loads)
     return max(loads) / mean if mean > 0 else 1.0
@@ -121,8 +124,9 @@
 ) -> Iterator[MapPlan | None]:
     """Plan all layers, with changes only where the gain exceeds the loading cost.
 
-    The layer with the largest skew takes the next step, because a pass executes all
-    layers. A rank loads the weights of all layers over one link.
+    The layer with the largest skew takes the next step of its search, because a pass
+    executes all layers. The limit per rank applies to all layers together, because a
+    rank loads the weights of all layers over one link.
 
     A step may reduce the cost only together with later ones, for example when two
     ranks are equally slow. So each layer continues until no further step is possible,
@@ -185,7 +189,11 @@
 
 @dataclass(slots=True)
 class _LayerPlanner:
-    """The search of one layer and the best placement that it has found so far."""
+    """The search of one layer and the best placement that it has found so far.
+
+    The net cost of a placement is the cost of its weight loads minus its gain; that of
+    the initial placement is 0.
+    """
 
     search: GreedySearch
     best_placement: Placement
@@ -193,7 +201,7 @@
     skew_before: float = 0.0
     skew_after: float = 0.0
     weight_loads_by_rank: tuple[int, ...] = ()
-    lowest_cost: float = 0.0
+    lowest_net_cost: float = 0.0
 
     def __post_init__(self) -> None:
         self.skew_before = self.skew_after = self.search.skew
@@ -213,12 +221,12 @@
         ):
             return False
         gain = policy.excess_cost * (self.skew_before - search.skew)
-        cost = policy.move_weight * search.weight_loads - gain
-        if cost < self.lowest_cost:
+        net_cost = policy.move_weight * search.weight_loads - gain
+        if net_cost < self.lowest_net_cost:
             self.best_placement, self.skew_after = search.build_placement(), search.skew
-            self.weight_loads_by_rank, self.lowest_cost = (
+            self.weight_loads_by_rank, self.lowest_net_cost = (
                 search.weight_loads_by_rank,
-                cost,
+                net_cost,
             )
         return True
 
--- a/src/azurefold/core/balance/straggler.py
+++ b/src/azurefold/core/balance/straggler.py
@@ -16,9 +16,16 @@
 ]
 
 SLOW_THRESHOLD = 1.15
+"""Slowdown from which an observation shows a healthy rank as slow."""
+
 HEALTHY_THRESHOLD = 1.08
+"""Slowdown below which an observation shows a slow rank as healthy."""
+
 CONSECUTIVE_OBSERVATIONS = 3
+"""Number of observations in a row after which the classification changes."""
+
 _SMOOTHING_WEIGHT = 0.4
+"""Weight of the newest observation in the smoothed slowdown."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,14 +36,14 @@
     ----------
     slowdown : float
         Smoothed time per token over the median of all ranks; 1.0 is healthy.
-    contradicting : int
+    contradicting_observations : int
         Consecutive observations that contradict the present classification.
     slow_since : int or None
         When the rank was classified as slow, in milliseconds; None while healthy.
     """
 
     slowdown: float = 1.0
-    contradicting: int = 0
+    contradicting_observations: int = 0
     slow_since: Millis | None = None
 
 
@@ -120,16 +127,18 @@
         is_contradicting = slowdown >= SLOW_THRESHOLD
     else:
         is_contradicting = slowdown < HEALTHY_THRESHOLD
-    contradicting = pace.contradicting + 1 if is_contradicting else 0
-    if contradicting < CONSECUTIVE_OBSERVATIONS:
-        return RankPace(smoothed, contradicting, pace.slow_since)
+    contradicting_observations = (
+        pace.contradicting_observations + 1 if is_contradicting else 0
+    )
+    if contradicting_observations < CONSECUTIVE_OBSERVATIONS:
+        return RankPace(smoothed, contradicting_observations, pace.slow_since)
     if pace.slow_since is None:
         return RankPace(smoothed, 0, now)
     return RankPace(smoothed, 0, None)
 
 
 def planning_speeds(paces: tuple[RankPace, ...]) -> tuple[float, ...]:
-    """Return the speed to assume for each rank; 1.0 unless it is slow."""
+    """Return the speed of each rank for planning; 1.0 unless it is a straggler."""
     return tuple(
         1.0 if pace.slow_since is None else 1.0 / max(pace.slowdown, 1.0)
         for pace in paces
@@ -137,7 +146,7 @@
 
 
 def find_stragglers(paces: tuple[RankPace, ...], now: Millis) -> tuple[Straggler, ...]:
-    """Return the slow ranks at ``now``."""
+    """Return the ranks that are classified as slow."""
     return tuple(
         Straggler(rank, pace.slowdown, now - pace.slow_since)
         for rank, pace in enumerate(paces)
--- a/src/azurefold/core/groups/agent.py
+++ b/src/azurefold/core/groups/agent.py
@@ -5,9 +5,10 @@
 that has the number of the change, either for the new map (opened) or for the old one
 again (reopened).
 
-A change cannot end in two ways. A rank opens it only if it has agreed and has not
-promised. The ranks reopen it by themselves only if *every* rank has promised that it
-has not opened the change and will refuse the coordinator's *open*. A promise must
+A change cannot end in two ways. If the coordinator does not respond, the ranks reopen
+the change by themselves, but only if *every* rank has promised the others that it has
+not opened the change and will refuse the coordinator's *open*. A rank opens a change
+only if it has agreed to the close and has not made this promise. A promise must
 survive a restart of the agent, so it is made only if the engine stores the number of
 the change. A restarted agent that finds such a number acts as if it had promised.
 """
--- a/src/azurefold/core/groups/agent_state.py
+++ b/src/azurefold/core/groups/agent_state.py
@@ -1,4 +1,4 @@
-"""State of a rank's agent, and its requests to the engine."""
+"""Base class of a rank's agent: its state and its requests to the engine."""
 
 from azurefold.core.groups import messages as msg
 from azurefold.core.groups.actions import Action, GroupTiming, SendToEngine
@@ -10,7 +10,7 @@
 
 
 class AgentState:
-    """State shared by the coordinator and the peer protocol of an agent."""
+    """State of an agent, used in its exchanges with the coordinator and with peers."""
 
     def __init__(self, rank: int, size: int, timing: GroupTiming) -> None:
         self._rank = rank
--- a/src/azurefold/core/groups/closed_change.py
+++ b/src/azurefold/core/groups/closed_change.py
@@ -19,7 +19,7 @@
         Number of the change, and the step that the rank does not start.
     can_open : bool
         Whether the coordinator's *open* is still accepted: this agent process agreed
-        to the close and has promised nothing since.
+        to the close and has not promised its peers to refuse the *open*.
     ask_peers_at : int
         Time of the next query to the peers, in milliseconds.
     promises : dict of int to PlanEntry
--- a/src/azurefold/core/groups/coordinator.py
+++ b/src/azurefold/core/groups/coordinator.py
@@ -1,13 +1,16 @@
 """Coordinator of map changes.
 
-The coordinator holds a lease in the platform's table; the lease number is its fence.
-It keeps no durable state, because its successor queries the ranks. In a healthy group
-it changes the map without a pause: stage, check, close some steps ahead, open. A group
-is recovered if a change is undecided, plans differ or a rank was replaced: every rank
-stops as soon as possible and, when all have stopped, they get one map from there on.
-
-The coordinator never reopens a recovery, because the ranks may differ in the map that
-they would reopen. It retries the recovery under a higher number instead.
+The coordinator holds a lease in the platform's table; the number of the lease is its
+fence. It keeps no durable state, because its successor queries the ranks.
+
+In a healthy group it changes the map without a pause: it stages the map, checks the
+ranks, closes the change some steps ahead and opens it. If a rank is held by an
+undecided change, the ranks' plans differ or a rank was replaced, it recovers the group
+instead: every rank stops as soon as possible and, when all have stopped, all use one
+map from that step on.
+
+A recovery is never reopened, because the ranks may differ in the old map with which
+they would continue. It is retried under a higher number instead.
 """
 
 from azurefold.core.clock import Millis
@@ -116,11 +119,11 @@
 
     @property
     def active_map(self) -> str | None:
-        """The map that all ranks had last in their plans; None if unknown."""
+        """Map at the end of all ranks' plans, as last checked; None if unknown."""
         return self._active_map
 
     def start(self, now: Millis) -> list[Action]:
-        """Query every rank; ranks then reject coordinators with a lower fence."""
+        """Query every rank; it then rejects coordinators with a lower fence."""
         return self._start_check(now)
 
     def start_change(self, map_id: str, now: Millis) -> list[Action]:
--- a/src/azurefold/core/groups/lead_time.py
+++ b/src/azurefold/core/groups/lead_time.py
@@ -2,7 +2,7 @@
 
 The close must reach every rank before that step starts, and the open must arrive
 before the ranks reach it; otherwise the group waits. A lead that is too long only
-delays the change, so the estimate is rounded up generously.
+delays the change, so the lead is estimated generously.
 """
 
 from dataclasses import dataclass
@@ -21,8 +21,8 @@
     ----------
     round_trips : float, default=2.0
         Number of exchanges within the lead: the close with its replies, and the open
-        until it reaches the engines. In addition comes half a round trip of the query
-        before them, because the step number in its reply is that old.
+        until it reaches the engines. Half a round trip is added, because the reported
+        step number is that old when the reply to the query arrives.
     latency_margin : float, default=1.5
         Factor on the slowest measured round trip, to cover the tail latency.
     default_step_time : float, default=5.0
@@ -78,9 +78,11 @@
 
     Parameters
     ----------
-    step, at : int
-        Step of the report from which the estimate is measured, -1 before the first
-        report, and the time at which the report arrived, in milliseconds.
+    base_step : int
+        Next step in the report from which the step time is measured; -1 before the
+        first report.
+    base_at : int
+        Time at which that report arrived, in milliseconds.
     step_time : float or None
         Milliseconds per step; None until known.
 
@@ -91,17 +93,20 @@
     5.0
     """
 
-    step: int = -1
-    at: Millis = 0
+    base_step: int = -1
+    base_at: Millis = 0
     step_time: float | None = None
 
     def with_report(self, step: int, now: Millis) -> "StepTimeEstimate":
         """Return the estimate after a report with next step ``step``.
 
-        If the group has not advanced, the previous step time is kept.
+        A group that has not advanced shows nothing about its step time, so the previous
+        one is kept.
         """
-        if self.step < 0 or step <= self.step:
+        if self.base_step < 0 or step <= self.base_step:
             return StepTimeEstimate(step, now, self.step_time)
-        if step - self.step < MIN_STEPS_BETWEEN_REPORTS or now <= self.at:
+        if step - self.base_step < MIN_STEPS_BETWEEN_REPORTS or now <= self.base_at:
             return self
-        return StepTimeEstimate(step, now, (now - self.at) / (step - self.step))
+        return StepTimeEstimate(
+            step, now, (now - self.base_at) / (step - self.base_step)
+        )
--- a/src/azurefold/core/groups/leadership.py
+++ b/src/azurefold/core/groups/leadership.py
@@ -3,9 +3,9 @@
 One row of the store names the leader, and the version of the row is the term. A node
 becomes the leader by replacing the row. After that the leader does not have to write
 to the store: its heartbeats to the other nodes show that it is alive. If the leader
-renewed the row each second and eight other nodes polled it, this would be most of the
-load on the store of such a site. Also, a leader that has lost only its connection to
-the store would step down needlessly.
+renewed the row each second and the others polled it, this would be most of the load on
+the store of a site with nine nodes. Also, a leader that has lost only its connection
+to the store would step down needlessly.
 
 A leader that was paused or is partitioned may stay active for a moment beside its
 successor. Even then each pass uses one map. A map version holds the term above a
@@ -70,7 +70,7 @@
     term : int
         Term of the leader.
     is_changing : bool
-        Whether a map change is in progress.
+        Whether the leader has a map change in progress.
     """
 
     node: str
@@ -111,11 +111,11 @@
         return self._is_leader
 
     def start(self, now: Millis) -> None:
-        """Start to wait for heartbeats."""
+        """Start to wait for heartbeats of a leader."""
         self._waiting_since = now
 
     def on_heartbeat(self, heartbeat: LeaderHeartbeat, now: Millis) -> bool:
-        """Handle a heartbeat; return whether it ended this node's own term."""
+        """Handle a heartbeat; return whether it ended this node's term as leader."""
         if heartbeat.term < self.term or heartbeat.node == self.node:
             return False
         self.term = heartbeat.term
@@ -184,7 +184,13 @@
         self._confirmed_at = sent_at
 
     def on_row_refused(self, term: int, now: Millis) -> bool:
-        """Record that another node holds the row; return whether a term was lost."""
+        """Record that another node holds the row.
+
+        Returns
+        -------
+        bool
+            Whether this ended this node's term as the leader.
+        """
         self.term = max(self.term, term)
         self._waiting_since = now
         self._has_heartbeat = False
--- a/src/azurefold/core/groups/lease.py
+++ b/src/azurefold/core/groups/lease.py
@@ -39,7 +39,8 @@
     fence : int
         Fencing token; incremented when the holder changes and after an expiry.
     attempt : int
-        Sequence number of the holder's write.
+        Sequence number of the holder's write, by which the holder recognises the row
+        as its own write if the answer to that write was lost.
     map_id : str
         The last map that a holder activated; empty if none is known.
     released : bool
@@ -226,10 +227,10 @@
         if self._last_read is None:
             return ReadLease()
         if self.fence_at(now) is not None:
-            return self._new_write(self._fence, now)
+            return self._build_write(self._fence, now)
         if self._is_free(now):
-            known = self._last_read.row.fence if self._last_read.row else 0
-            return self._new_write(max(known, self._min_fence) + 1, now)
+            last_fence = self._last_read.row.fence if self._last_read.row else 0
+            return self._build_write(max(last_fence, self._min_fence) + 1, now)
         return ReadLease()
 
     def _is_free(self, now: Millis) -> bool:
@@ -238,7 +239,7 @@
             return True
         return now - self._version_seen_at >= self._timing.duration
 
-    def _new_write(self, fence: int, now: Millis) -> WriteLease:
+    def _build_write(self, fence: int, now: Millis) -> WriteLease:
         attempt = 1 + max(self._sent_at, default=0)
         self._sent_at[attempt] = now
         row = LeaseRow(self._holder, fence, attempt, self._map_id)
@@ -260,10 +261,10 @@
         if sent_at is None or row.fence <= self._min_fence:
             return
         self._fence = row.fence
-        self._valid_until = self._expiry_from(sent_at)
+        self._valid_until = self._compute_expiry(sent_at)
         self._next_request_at = sent_at + self._timing.renew_interval
         still_relevant = {n: at for n, at in self._sent_at.items() if n >= row.attempt}
         self._sent_at = still_relevant
 
-    def _expiry_from(self, sent_at: Millis) -> Millis:
+    def _compute_expiry(self, sent_at: Millis) -> Millis:
         return sent_at + self._timing.duration
--- a/src/azurefold/core/groups/map_change.py
+++ b/src/azurefold/core/groups/map_change.py
@@ -1,12 +1,14 @@
 """Map change driven by remote orders, for ranks without a local agent.
 
-1. All ranks load the new map.
-2. The group is held before a forward pass some distance ahead.
-3. Every rank is armed to switch to the new map at that pass.
-4. When *all* ranks have confirmed, the hold is released.
+1. Prepare: all ranks load the weights of the new map.
+2. Hold: one rank is ordered not to start a forward pass some distance ahead. The group
+   cannot start that pass without it.
+3. Arm: every rank is ordered to switch to the new map at that pass.
+4. Release: when *all* ranks have confirmed that they are armed, the hold ends.
 
-If the load time is known beforehand, the pass is chosen and the group is held
-before it while ranks are still loading.
+If the load time is known beforehand, steps 2 and 3 need not wait for the reports that
+the weights are loaded: the pass is chosen, and the group held before it, while ranks
+are still loading.
 
 The hold makes the change safe. Without it the pass could start while only some
 ranks are armed, and the group would run it under two maps. If the pass is chosen
@@ -63,7 +65,8 @@
     version : int
         Version of the new map. Must be higher than any version a rank has had.
     epoch : int
-        Epoch of the group. No order of the change is valid in another epoch.
+        Epoch of the group, incremented each time the group is re-formed. No order of
+        the change is valid in another epoch.
     size : int
         Number of ranks in the group.
     policy : ChangePolicy
@@ -71,7 +74,8 @@
     step : int
         Number of the pass at which the ranks switch.
     holding_ranks : list of int
-        Ranks that have been ordered to hold the group before ``step``.
+        Ranks that have been ordered to hold the group before ``step``. More than one if
+        the order to the previous rank got no answer.
     """
 
     version: int
@@ -81,9 +85,9 @@
     step: int = 0
     holding_ranks: list[int] = field(default_factory=list)
     _phase: _Phase = _Phase.PREPARING
-    _confirmed: set[int] = field(default_factory=set)
-    _in_flight: set[int] = field(default_factory=set)
-    _loading: set[int] = field(default_factory=set)
+    _confirmed_ranks: set[int] = field(default_factory=set)
+    _unanswered_ranks: set[int] = field(default_factory=set)
+    _loading_ranks: set[int] = field(default_factory=set)
     _load_ms: Millis | None = None
     _expected_loaded_at: Millis = 0
     _prepare_unconfirmed: set[int] = field(default_factory=set)
@@ -91,7 +95,7 @@
     _retry_at: dict[int, Millis] = field(default_factory=dict)
     _started_at: Millis = 0
     _phase_entered_at: Millis = 0
-    _poll_reports_at: Millis = 0
+    _next_report_poll_at: Millis = 0
     _hold_attempts: int = 0  # -1 if the change only releases or is rolled back
     _pass_estimate: PassEstimate = field(default_factory=PassEstimate)
     _arming_ms: Millis = 0
@@ -112,12 +116,12 @@
 
     @property
     def answering_ms(self) -> Millis:
-        """Longest time a rank took to answer the first order, without lost answers."""
+        """Longest time to an answer to the first order; lost answers do not count."""
         return self._answering_ms
 
     @property
     def last_rank(self) -> int | None:
-        """Rank that was the last to confirm a prepare or arm order; None if none."""
+        """Rank that last confirmed an order to prepare or arm; None if none has."""
         return self._last_rank
 
     @property
@@ -149,7 +153,7 @@
         self._pass_estimate.pass_ms = pass_ms
         self._load_ms = load_ms
         self._started_at = self._phase_entered_at = now
-        self._poll_reports_at = now + self.policy.report_poll_interval
+        self._next_report_poll_at = now + self.policy.report_poll_interval
         return self._send_to_all(Prepare(self.version), now)
 
     def resume(
@@ -184,7 +188,7 @@
         self, rank: int, order: RankOrder, verdict: Verdict, now: Millis
     ) -> list[ChangeAction]:
         """Handle the result of an order."""
-        self._in_flight.discard(rank)
+        self._unanswered_ranks.discard(rank)
         match self._phase, order:
             case _Phase.PREPARING, Prepare():
                 self._on_prepare(rank, verdict, now)
@@ -208,8 +212,8 @@
         self.record_pass_start(view.step, now - REPORT_AGE_MS)
         match self._phase:
             case _Phase.PREPARING if view.prepared_version == self.version:
-                self._confirmed.add(view.rank)
-                if len(self._confirmed) == self.size:
+                self._confirmed_ranks.add(view.rank)
+                if len(self._confirmed_ranks) == self.size:
                     return self._start_hold(now)
             case _Phase.ARMING if self.version in (view.armed_version, view.version):
                 return self._confirm_armed(view.rank, now)
@@ -232,36 +236,41 @@
         if now - self._started_at >= self.policy.prepare_timeout:
             return self._finish(ChangeEnd.NOT_PREPARED)
         if self._is_load_time_known:
-            # An earlier hold would last longer than necessary.
+            # If the group were held earlier, the hold would last longer than needed.
             is_hold_due = now >= self._expected_loaded_at - self.policy.lead_time
             return self._start_hold(now) if is_hold_due else []
-        missing = [rank for rank in range(self.size) if rank not in self._confirmed]
+        missing = [
+            rank for rank in range(self.size) if rank not in self._confirmed_ranks
+        ]
         actions: list[ChangeAction] = []
         for rank in missing:
             if rank in self._prepare_unconfirmed and now >= self._retry_at[rank]:
                 self._prepare_unconfirmed.discard(rank)
                 self._prepare_resent.add(rank)
                 actions += self._send(rank, Prepare(self.version), now)
-        if now >= self._poll_reports_at:
-            self._poll_reports_at = now + self.policy.report_poll_interval
+        if now >= self._next_report_poll_at:
+            self._next_report_poll_at = now + self.policy.report_poll_interval
             actions += [RequestReport(rank) for rank in missing]
         return actions
 
     @property
     def _is_load_time_known(self) -> bool:
         """Whether all ranks are loading and the time this takes is known."""
-        return self._load_ms is not None and len(self._loading) == self.size
+        return self._load_ms is not None and len(self._loading_ranks) == self.size
 
     def _tick_held(self, now: Millis) -> list[ChangeAction]:
         if now - self._phase_entered_at >= self.policy.hold_timeout:
             return self._finish(ChangeEnd.STUCK)
-        missing = [rank for rank in self._target_ranks() if rank not in self._confirmed]
-        ready = [rank for rank in missing if rank not in self._in_flight]
+        missing = [
+            rank for rank in self._target_ranks() if rank not in self._confirmed_ranks
+        ]
+        ready = [rank for rank in missing if rank not in self._unanswered_ranks]
         due = [rank for rank in ready if now >= self._retry_at.get(rank, 0)]
         order = self._phase_order()
         return [action for rank in due for action in self._send(rank, order, now)]
 
     def _target_ranks(self) -> Iterable[int]:
+        """Return the ranks that must carry out the order of the current phase."""
         match self._phase:
             case _Phase.HOLDING:
                 return self.holding_ranks[-1:]
@@ -280,20 +289,23 @@
         return Disarm(self.version)
 
     def _start_hold(self, now: Millis) -> list[ChangeAction]:
+        """Choose a pass and order one rank to hold the group before it."""
         self._hold_attempts += 1
         if self._hold_attempts > self.policy.max_hold_attempts:
             return self._finish(ChangeEnd.NOT_PREPARED)
         if self._phase is _Phase.PREPARING:
             self._preparing_ms = now - self._started_at
-        lead = max(self.policy.lead_time, self._expected_loaded_at - now)
+        lead_ms = max(self.policy.lead_time, self._expected_loaded_at - now)
         if self._has_lost_orders or self.policy.has_lost_orders:
-            lead += self.policy.lossy_lead_time
-        ahead = max(
-            self._pass_estimate.passes_until(now + lead, now),
+            lead_ms += self.policy.lossy_lead_time
+        passes_ahead = max(
+            self._pass_estimate.passes_until(now + lead_ms, now),
             self.policy.min_lead_passes,
         )
         self.step = (
-            self._pass_estimate.newest_started + ahead + 2 * (self._hold_attempts - 1)
+            self._pass_estimate.newest_started
+            + passes_ahead
+            + 2 * (self._hold_attempts - 1)
         )
         # One rank is enough to hold the group. Each attempt uses another rank, in
         # case the previous one does not respond.
@@ -307,7 +319,7 @@
         is_resent = rank in self._prepare_resent
         if verdict is Verdict.ACCEPTED or (verdict is Verdict.REFUSED and is_resent):
             self._last_rank = rank
-            self._loading.add(rank)
+            self._loading_ranks.add(rank)
             self._expected_loaded_at = now + (self._load_ms or 0)
             if not is_resent:
                 self._answering_ms = max(self._answering_ms, now - self._started_at)
@@ -343,6 +355,7 @@
                 return []
             case Verdict.REFUSED:
                 return self._roll_back(now)
+        # Without an answer, only the rank's report shows whether it is armed.
         return [RequestReport(rank)]
 
     def _is_possibly_loading(self, now: Millis) -> bool:
@@ -356,9 +369,9 @@
         return self._is_load_time_known and is_within_timeout
 
     def _confirm_armed(self, rank: int, now: Millis) -> list[ChangeAction]:
-        self._confirmed.add(rank)
+        self._confirmed_ranks.add(rank)
         self._last_rank = rank
-        if len(self._confirmed) < self.size:
+        if len(self._confirmed_ranks) < self.size:
             return []
         self._arming_ms = max(
             1, now - max(self._phase_entered_at, self._expected_loaded_at)
@@ -380,8 +393,8 @@
         # A refusal means that there is no hold or that the pass has started.
         if verdict is Verdict.LOST:
             return []
-        self._confirmed.add(rank)
-        if any(holder not in self._confirmed for holder in self.holding_ranks):
+        self._confirmed_ranks.add(rank)
+        if any(holder not in self._confirmed_ranks for holder in self.holding_ranks):
             return []
         return self._finish(self._end_after_release())
 
@@ -403,8 +416,10 @@
     ) -> list[ChangeAction]:
         if verdict is Verdict.LOST:
             return []
-        self._confirmed.add(rank)
-        return self._start_release(now) if len(self._confirmed) == self.size else []
+        self._confirmed_ranks.add(rank)
+        return (
+            self._start_release(now) if len(self._confirmed_ranks) == self.size else []
+        )
 
     def _send_to_all(self, order: RankOrder, now: Millis) -> list[ChangeAction]:
         return [
@@ -415,20 +430,20 @@
 
     def _send(self, rank: int, order: RankOrder, now: Millis) -> list[ChangeAction]:
         is_prepare = isinstance(order, Prepare)
-        wait = (
+        retry_interval = (
             self.policy.prepare_retry_interval
             if is_prepare
             else self.policy.retry_interval
         )
-        self._retry_at[rank] = now + wait
-        self._in_flight.add(rank)
+        self._retry_at[rank] = now + retry_interval
+        self._unanswered_ranks.add(rank)
         return [SendOrder(rank, order)]
 
     def _enter(self, phase: _Phase, now: Millis) -> None:
         self._phase = phase
         self._phase_entered_at = now
-        self._confirmed = set()
-        self._in_flight = set()
+        self._confirmed_ranks = set()
+        self._unanswered_ranks = set()
 
     def _finish(self, end: ChangeEnd) -> list[ChangeAction]:
         self._phase = _Phase.FINISHED
--- a/src/azurefold/core/groups/map_orders.py
+++ b/src/azurefold/core/groups/map_orders.py
@@ -1,4 +1,7 @@
-"""Remote orders to ranks, their results, rank reports, and timeouts of a change."""
+"""Remote orders to ranks, their results, rank reports, and timeouts of a change.
+
+Orders and reports number the forward passes of a group; ``step`` is such a number.
+"""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -31,27 +34,28 @@
 """Typical age of a rank report: it lags 200 to 300 ms behind the passes."""
 
 _EXCHANGE_MS: Millis = 40
-"""Time for the hold order and its answer: 3 to 10 ms plus the tick that sends it."""
+"""Time for the order to hold and its answer: 3 to 10 ms, plus the wait for the next
+tick, which sends the order."""
 
 _ARM_MS_PER_RANK: Millis = 3
-"""Orders are sent one after the other: arming takes some 40 ms for 16 ranks and some
-200 ms for 72."""
+"""Time to arm one rank. Orders are sent one after the other: arming takes some 40 ms
+for 16 ranks and some 200 ms for 72."""
 
 _LOSSY_LEAD_MS: Millis = 400
-"""If one order in ten gets no answer, some of 72 arm orders get none, and each of
-these is resent twice on average."""
+"""Additional lead time if orders get no answer. If one order in ten gets none, this
+happens to some of 72 orders to arm, and each of these is resent twice on average."""
 
 ARM_TIMEOUT_MS: Millis = 150
-"""Maximum time from the hold until ranks are armed. Another coordinator waits longer
-than this before it releases a group in which no rank seems to be armed."""
+"""Maximum time from the hold until all ranks are armed. A successor waits longer than
+this before it releases a held group in which no rank is reported as armed."""
 
 ORDER_RETRY_MS: Millis = 150
 """Time after which an unanswered order other than :class:`Prepare` is resent. Long
 enough for 72 answers, short enough that one lost order does not delay a pass."""
 
 PREPARE_ANSWER_TIMEOUT_MS: Millis = 400
-"""Answer timeout of :class:`Prepare`, which carries a whole map: sending 72 maps over
-a slow link takes 200 ms."""
+"""Answer timeout of :class:`Prepare`. The order carries a whole map, and sending 72
+maps over a slow link takes 200 ms."""
 
 _ANSWERING_MARGIN = 2
 """Factor on the time all ranks took to answer, to allow for slower answers."""
@@ -151,7 +155,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendOrder:
-    """Send an order to a rank and report the result with ``on_verdict``."""
+    """Send an order to a rank; the result goes to :meth:`MapChange.on_verdict`."""
 
     rank: int
     order: RankOrder
@@ -176,7 +180,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeFinished:
-    """The change has ended; after ``STUCK`` the group is still held for a successor."""
+    """The change has ended; after ``STUCK`` the group stays held until resumed."""
 
     end: ChangeEnd
 
@@ -191,8 +195,8 @@
     Parameters
     ----------
     prepare_timeout : int
-        Time for all ranks to load the weights. Loading takes 0.3 s; the rest allows
-        one retry of a lost order.
+        Time for all ranks to load the weights. Loading takes 0.3 s; the rest of the
+        time is for one retry of a lost order.
     prepare_retry_interval : int
         Time after which an unanswered order to prepare is resent, equal to its answer
         timeout. A rank that missed the order starts to load this much later, and all
@@ -204,8 +208,9 @@
     arm_timeout : int
         Time, with the group held, during which ranks may still be loading.
     lead_time : int
-        Time from the choice of a pass to its start, needed for the exchanges with the
-        ranks. If it is too short, the group waits and all its streams are delayed.
+        Time from the choice of a pass to its start, in which a rank is ordered to hold
+        and all ranks are armed. If it is too short, the group waits at the pass and all
+        its streams are delayed.
     lossy_lead_time : int
         Additional lead time if orders get no answer. Without it the group was held
         for 0.44 s when one order in ten got none.
@@ -216,7 +221,8 @@
     retry_interval : int
         Time until an order other than :class:`Prepare` is resent.
     hold_timeout : int
-        Time, with the group held, until another coordinator should take over.
+        Time, with the group held, after which the change ends as ``STUCK``, so that
+        another coordinator can take over.
     max_hold_attempts : int
         Number of passes to try before the change is abandoned.
     """
--- a/src/azurefold/core/groups/messages.py
+++ b/src/azurefold/core/groups/messages.py
@@ -1,12 +1,18 @@
 """Messages of the protocol that changes a group's expert map.
 
+The coordinator sends *stage*, upon which each rank loads the weights of the new map;
+*close*, upon which it agrees to stop before a step; and *open*, upon which it uses the
+new map from that step on. A change that was closed but not opened is *reopened*: the
+ranks continue with the old map. *Query* reads the state of a rank. While a change is
+closed, but neither opened nor reopened, it is undecided.
+
 All messages are frozen data classes of plain values, so a codec can encode them as
 they are. :data:`MESSAGE_TYPES` maps type names to types for the envelope on the wire.
 
 A change is identified by its *order number*, which holds the fence of the coordinator's
 lease above a serial number of that coordinator. Numbers therefore increase from change
 to change and from one coordinator to the next. The engine stores the number of each
-order, from which a restarted agent learns what its predecessor had done.
+order, from which a restarted agent learns what the previous agent process had done.
 """
 
 from dataclasses import dataclass
@@ -148,7 +154,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ended:
-    """The rank is not or no longer held by the change."""
+    """The change does not hold the rank, or no longer does."""
 
     number: int
     rank: int
@@ -158,7 +164,7 @@
 class Promised:
     """The rank has not opened the change and refuses to open it from now on.
 
-    ``tail`` is the last entry of its plan, which would stay active after a reopening.
+    ``tail`` is the last entry of its plan, which stays active if the ranks reopen.
     """
 
     number: int
--- a/src/azurefold/core/groups/popularity.py
+++ b/src/azurefold/core/groups/popularity.py
@@ -1,4 +1,4 @@
-"""Popularity of experts from the reports of all ranks, for the balance decision."""
+"""Popularity of experts and pace of ranks, from the reports of all ranks."""
 
 from dataclasses import dataclass
 
@@ -79,13 +79,13 @@
         If the number of ranks, layers or experts differs from the last reports, the
         popularity and the paces are reset.
         """
-        has_same_shape = _same_shape(self.reports, reports)
+        is_same_shape = _have_same_shape(self.reports, reports)
         elapsed = now - self.reported_at
-        if not has_same_shape or elapsed <= 0:
+        if not is_same_shape or elapsed <= 0:
             return GroupPopularity(
                 self.time_constant, reports, now, paces=initial_paces(len(reports))
             )
-        counts = _token_growth(self.reports, reports)
+        counts = _compute_token_growth(self.reports, reports)
         popularities = self.layers or tuple(
             new_popularity(len(layer_counts), self.time_constant)
             for layer_counts in counts
@@ -94,11 +94,11 @@
             update_popularity(popularity, layer_counts, elapsed, now)
             for popularity, layer_counts in zip(popularities, counts, strict=True)
         )
-        work = _counter_growth(
+        work = _compute_counter_growth(
             [report.work for report in self.reports],
             [report.work for report in reports],
         )
-        busy = _counter_growth(
+        busy = _compute_counter_growth(
             [report.busy_us for report in self.reports],
             [report.busy_us for report in reports],
         )
@@ -107,7 +107,7 @@
 
     @property
     def is_known(self) -> bool:
-        """Whether a decision is possible: tokens were counted and one map is in use."""
+        """Whether views can be built: tokens were counted and one map is in use."""
         map_ids = {report.map_id for report in self.reports}
         return len(map_ids) == 1 and any(sum(layer.rates) > 0 for layer in self.layers)
 
@@ -117,7 +117,7 @@
         return self.reports[0].map_id
 
     def layer_views(self) -> tuple[LayerView, ...]:
-        """Return the layers for the decision, without layers that have no tokens."""
+        """Return the view of each layer that has tokens, for a balance decision."""
         assignments = self.reports[0].layers
         rank_speeds = planning_speeds(self.paces)
         pairs = zip(self.layers, assignments, strict=True)
@@ -128,7 +128,7 @@
         )
 
     def stragglers(self, now: Millis) -> tuple[Straggler, ...]:
-        """Return the ranks that are slow by themselves."""
+        """Return the ranks that are slow regardless of their load."""
         return find_stragglers(self.paces, now)
 
 
@@ -137,21 +137,23 @@
     return GroupPopularity(time_constant)
 
 
-def _same_shape(before: tuple[RankReport, ...], after: tuple[RankReport, ...]) -> bool:
+def _have_same_shape(
+    before: tuple[RankReport, ...], after: tuple[RankReport, ...]
+) -> bool:
     def shape(reports):
         return [[len(layer) for layer in report.tokens] for report in reports]
 
     return bool(before) and shape(before) == shape(after)
 
 
-def _token_growth(
+def _compute_token_growth(
     before: tuple[RankReport, ...], after: tuple[RankReport, ...]
 ) -> list[list[int]]:
     """Return the tokens of all ranks since the last reports, by layer and expert."""
     counts = []
     for layer in range(len(after[0].tokens)):
         growth_by_rank = [
-            _counter_growth(old.tokens[layer], new.tokens[layer])
+            _compute_counter_growth(old.tokens[layer], new.tokens[layer])
             for old, new in zip(before, after, strict=True)
         ]
         counts.append(
@@ -163,12 +165,12 @@
     return counts
 
 
-def _counter_growth(before, after) -> list:
+def _compute_counter_growth(before, after) -> list:
     """Return the growth of counters; one that decreased was reset to zero.
 
     Examples
     --------
-    >>> _counter_growth([5, 100], [7, 3])
+    >>> _compute_counter_growth([5, 100], [7, 3])
     [2, 3]
     """
     pairs = zip(before, after, strict=True)
--- a/src/azurefold/core/groups/sampled_popularity.py
+++ b/src/azurefold/core/groups/sampled_popularity.py
@@ -12,7 +12,11 @@
 while the popularity did not change."""
 
 _NOISE_SMOOTHING = 0.2
+"""Weight of the newest distance in the moving average of the noise."""
+
 _JUMP_TO_NOISE_RATIO = 1.7
+"""Ratio to the noise above which a total variation counts as a jump."""
+
 _MIN_JUMP = 0.2
 """Minimum total variation of a jump. Jumps have 0.3 to 0.6; half seconds without a jump
 have 0.05 to 0.13. A map planned for a popularity off by 0.2 has a skew of about 1.4."""
@@ -57,9 +61,9 @@
     layers : tuple of tuple of float
         Summed growth of each expert's counts, by layer; empty before the first growth.
     usable_rounds : int
-        Number of rounds after which the popularity could be used for planning.
+        Number of rounds so far whose result was usable for planning.
     is_unsettled : bool
-        Whether the last growth may span a jump.
+        Whether the last growth may span a jump, so that it must not be used.
     last_distance : float
         Total variation between the last growth and the popularity before it.
     """
@@ -84,7 +88,7 @@
         return self.layers
 
     def add_counts(self, samples: list[CountSample], now: Millis) -> bool:
-        """Add one round of counts; return whether the result is usable for planning.
+        """Add a round of counts; return whether the popularity is usable for planning.
 
         Counts of a rank without a previous sample, or from a restarted rank, only
         serve as the base for the next growth.
--- a/src/azurefold/core/groups/termination.py
+++ b/src/azurefold/core/groups/termination.py
@@ -49,9 +49,10 @@
             return []
         if closed is not None and closed.number == ask.number:
             self._closed_change = replace(closed, can_open=False)
-            return [self._promise_to(ask)]
+            return [self._make_promise(ask)]
         if engine.highest_number > ask.number:
-            return [self._promise_to(ask)]
+            # The engine stores a higher number, so a close of this change is refused.
+            return [self._make_promise(ask)]
         if closed is not None:
             return []
         # The hold stores the change's number in the engine, so that the promise
@@ -66,7 +67,7 @@
         if not reply.accepted:
             return []
         self._closed_change = ClosedChange(ask.number, ask.step, False, now)
-        return [self._promise_to(ask)]
+        return [self._make_promise(ask)]
 
     def _on_promised(self, promise: msg.Promised) -> list[Action]:
         closed = self._closed_change
@@ -94,6 +95,6 @@
         order = UseFrom(decided.step, decided.map_id, decided.number)
         return self._order_engine(order, decided)
 
-    def _promise_to(self, ask: msg.Ask) -> SendToRank:
+    def _make_promise(self, ask: msg.Ask) -> SendToRank:
         promise = msg.Promised(ask.number, self._rank, self._engine.tail)
         return SendToRank(ask.sender, promise)
--- a/tests/core/balance/test_greedy_search.py
+++ b/tests/core/balance/test_greedy_search.py
@@ -9,7 +9,7 @@
 from azurefold.core.balance.plan import initial_placement, plan_layer
 from azurefold.core.balance.policy import BalancePolicy, ReplicaSplit
 
-EXPERTS, SLOTS_PER_RANK, RANKS, MAX_LOADS_PER_RANK = 12, 4, 5, 2
+EXPERTS, SLOTS_PER_RANK, RANKS, MAX_WEIGHT_LOADS_PER_RANK = 12, 4, 5, 2
 POLICY = BalancePolicy(
     1.0, 0.01, placement_lifetime=4_000, max_weight_loads=64, split=ReplicaSplit.EVEN
 )
@@ -23,7 +23,7 @@
         initial_placement(EXPERTS, SLOTS_PER_RANK, RANKS), rates, speeds
     )
     for _ in range(steps):
-        if not search.relieve_slowest_rank(MAX_LOADS_PER_RANK):
+        if not search.relieve_slowest_rank(MAX_WEIGHT_LOADS_PER_RANK):
             break
     placement = search.build_placement()
     assert placement.find_violations() == ()
@@ -38,7 +38,7 @@
     )
     skew = search.skew
     for _ in range(30):
-        if not search.relieve_slowest_rank(MAX_LOADS_PER_RANK):
+        if not search.relieve_slowest_rank(MAX_WEIGHT_LOADS_PER_RANK):
             break
         assert search.skew <= skew + 1e-9
         skew = search.skew
@@ -52,7 +52,9 @@
     """
     speeds = [1.0, 1.0, 1.0, 1.0, 1 / 12]
     initial = initial_placement(EXPERTS, SLOTS_PER_RANK, RANKS)
-    plan = plan_layer(initial, [1.0] * EXPERTS, speeds, POLICY, MAX_LOADS_PER_RANK)
+    plan = plan_layer(
+        initial, [1.0] * EXPERTS, speeds, POLICY, MAX_WEIGHT_LOADS_PER_RANK
+    )
     assert plan.skew_after < 0.5 * plan.skew_before
     assert len(plan.placement.ranks[4]) < len(initial.ranks[4])
 
--- a/tests/core/balance/test_plan_limits.py
+++ b/tests/core/balance/test_plan_limits.py
@@ -12,7 +12,7 @@
 )
 from azurefold.core.balance.policy import BalancePolicy, ReplicaSplit
 
-EXPERTS, SLOTS_PER_RANK, RANKS, MAX_LOADS_PER_RANK = 16, 5, 4, 2
+EXPERTS, SLOTS_PER_RANK, RANKS, MAX_WEIGHT_LOADS_PER_RANK = 16, 5, 4, 2
 POLICY = BalancePolicy(
     1.0, 0.02, placement_lifetime=4_000, tolerated_excess=0.05, split=ReplicaSplit.EVEN
 )
@@ -22,19 +22,19 @@
 @given(st.lists(st.floats(0.1, 100.0), min_size=EXPERTS, max_size=EXPERTS))
 def test_plan_is_valid_and_never_increases_skew(rates):
     initial = initial_placement(EXPERTS, SLOTS_PER_RANK, RANKS)
-    plan = plan_layer(initial, rates, HEALTHY_SPEEDS, POLICY, MAX_LOADS_PER_RANK)
+    plan = plan_layer(initial, rates, HEALTHY_SPEEDS, POLICY, MAX_WEIGHT_LOADS_PER_RANK)
     assert plan.placement.find_violations() == ()
     assert plan.skew_after <= plan.skew_before + 1e-9
     pairs = list(zip(initial.ranks, plan.placement.ranks, strict=True))
     loaded_counts = [len(set(after) - set(before)) for before, after in pairs]
-    assert max(loaded_counts) <= MAX_LOADS_PER_RANK
+    assert max(loaded_counts) <= MAX_WEIGHT_LOADS_PER_RANK
     assert plan.weight_loads == sum(loaded_counts)
 
 
 def test_hot_expert_is_replicated():
     rates = [50.0] + [1.0] * (EXPERTS - 1)
     initial = initial_placement(EXPERTS, SLOTS_PER_RANK, RANKS)
-    plan = plan_layer(initial, rates, HEALTHY_SPEEDS, POLICY, MAX_LOADS_PER_RANK)
+    plan = plan_layer(initial, rates, HEALTHY_SPEEDS, POLICY, MAX_WEIGHT_LOADS_PER_RANK)
     assert len(plan.placement.hosts[0]) > 1
     assert plan.skew_after < 0.7 * plan.skew_before
 
@@ -42,7 +42,7 @@
 def test_uniform_popularity_changes_nothing():
     initial = initial_placement(EXPERTS, SLOTS_PER_RANK, RANKS)
     plan = plan_layer(
-        initial, [3.0] * EXPERTS, HEALTHY_SPEEDS, POLICY, MAX_LOADS_PER_RANK
+        initial, [3.0] * EXPERTS, HEALTHY_SPEEDS, POLICY, MAX_WEIGHT_LOADS_PER_RANK
     )
     assert plan.weight_loads == 0
     assert plan.placement == initial
--- a/tests/core/groups/order_simulation.py
+++ b/tests/core/groups/order_simulation.py
@@ -17,10 +17,11 @@
 
 @dataclass
 class OrderSimulation:
-    """A group and a coordinator; order fates are set by rank in ``order_fates``.
+    """A group and its coordinator; ``order_fates`` says what happens to orders by rank.
 
-    ``answered``: carried out and answered; ``late``: carried out later, if at all,
-    without an answer; ``unheard``: carried out, but the answer is lost.
+    ``answered``: the order is carried out and answered. ``late``: it is carried out
+    later, if at all, and gets no answer. ``unheard``: it is carried out, but the answer
+    is lost.
     """
 
     group: ModelGroup
--- a/tests/core/groups/test_termination_protocol.py
+++ b/tests/core/groups/test_termination_protocol.py
@@ -10,8 +10,12 @@
 from azurefold.core.groups.phases import Deposed, Idle, Outcome
 
 ROUNDS_UNTIL_CLOSE = 4
+"""Delivery rounds after which the closes are in transit."""
+
 ROUNDS_UNTIL_OPEN = 6
-COORDINATOR_TIMEOUT_ELAPSED = 1_100
+"""Delivery rounds after which the opens are in transit."""
+
+AFTER_COORDINATOR_TIMEOUT_MS = 1_100
 
 
 class ForgetsPromise(RankAgent):
@@ -27,11 +31,11 @@
 
 
 class PromisesWithoutHold(RankAgent):
-    """Promises without a hold in the engine for a change that does not hold it."""
+    """Promises without placing a hold, so the engine does not store the change."""
 
     def _on_ask(self, ask):
         if self._closed_change is None and self._engine.entry_of(ask.number) is None:
-            return [self._promise_to(ask)]
+            return [self._make_promise(ask)]
         return super()._on_ask(ask)
 
 
@@ -65,8 +69,11 @@
 
 
 def test_ranks_follow_a_peer_that_received_the_open():
-    # Guards against a group that stays held after its coordinator has died. All ranks
-    # agree, only rank 0 receives the open; ranks 1 and 2 learn of it only if they ask.
+    """Guards against a group that stays held after its coordinator has died.
+
+    All ranks agree, but only rank 0 receives the open. Ranks 1 and 2 learn of it only
+    if they ask.
+    """
     simulation = start_change(ROUNDS_UNTIL_OPEN)
     send = take_message(simulation, Open, rank=0)
     simulation.network = [send]
@@ -92,14 +99,17 @@
 
 
 def deliver_late_open_after_agent_restart(implementations):
-    # Guards against rank 0 alone using the new map. All ranks agree and later promise
-    # to refuse the open; the agent of rank 0 restarts and forgets its promise; the
-    # other ranks reopen the old map; the late open arrives at rank 0.
+    """Guards against rank 0 alone using the new map.
+
+    All ranks agree and later promise to refuse the open. The agent of rank 0 restarts
+    and loses its promise, and the other ranks reopen the old map. Then the late open
+    arrives at rank 0.
+    """
     simulation = start_change(ROUNDS_UNTIL_OPEN, implementations=implementations)
     late = take_message(simulation, Open, rank=0)
     simulation.network.clear()
     simulation.kill_coordinators()
-    simulation.tick(COORDINATOR_TIMEOUT_ELAPSED)
+    simulation.tick(AFTER_COORDINATOR_TIMEOUT_MS)
     simulation.deliver_all(1)
     simulation.restart_agent(0)
     simulation.deliver_all(2, skip={0})
@@ -124,15 +134,18 @@
 
 
 def deliver_late_close_after_agent_restart(implementations):
-    # Guards against rank 0 alone using the new map. Its close is late and the
-    # coordinator is paused. Rank 0 promises, but stores nothing in the engine, and its
-    # agent restarts; the other ranks reopen the old map. The late close arrives, rank 0
-    # agrees, and the resumed coordinator has the agreement of all ranks.
+    """Guards against rank 0 alone using the new map.
+
+    Its close is late and the coordinator is paused. Rank 0 promises, but stores nothing
+    in the engine, and its agent restarts; the other ranks reopen the old map. The late
+    close arrives, rank 0 agrees, and the resumed coordinator has the agreement of all
+    ranks.
+    """
     simulation = start_change(ROUNDS_UNTIL_CLOSE, implementations=implementations)
     late = take_message(simulation, Close, rank=0)
     simulation.deliver_all(2)
     simulation.pause_coordinator()
-    simulation.tick(COORDINATOR_TIMEOUT_ELAPSED)
+    simulation.tick(AFTER_COORDINATOR_TIMEOUT_MS)
     simulation.deliver_all(1)
     simulation.restart_agent(0)
     simulation.deliver_all(2, skip={0})
@@ -160,9 +173,12 @@
 
 @pytest.mark.parametrize("honours_fence", [True, False])
 def test_a_coordinator_resumed_after_its_lease_expired_is_ignored(honours_fence):
-    # Guards against two active coordinators of one group. All ranks agree; the
-    # coordinator is paused until its lease has expired; a successor recovers the group;
-    # the first one resumes as if it held the lease and sends its opens.
+    """Guards against two active coordinators of one group.
+
+    All ranks agree, and the coordinator is paused until its lease has expired. A
+    successor recovers the group. The first coordinator resumes as if it still held the
+    lease and sends its opens.
+    """
     simulation = start_change(ROUNDS_UNTIL_CLOSE, honours_fence=honours_fence)
     simulation.pause_coordinator()
     first = simulation.coordinators[simulation.fence]
@@ -188,12 +204,14 @@
 
 
 def test_an_open_for_the_replaced_incarnation_is_refused():
-    # Guards against a replaced rank that uses a map which the others have left. The
-    # rank agrees and is replaced; late copies of stage, close and open for its
-    # predecessor arrive, and only the incarnation in them shows that they are stale.
+    """Guards against a replaced rank that uses another map than the others.
+
+    The rank agrees and is replaced. Late copies of stage, close and open for its
+    predecessor arrive, and only the incarnation in the open shows that it is stale.
+    """
     simulation = make_simulated_group()
     simulation.replace_rank(0)
-    simulation.tick(COORDINATOR_TIMEOUT_ELAPSED)
+    simulation.tick(AFTER_COORDINATOR_TIMEOUT_MS)
     simulation.deliver_all(ROUNDS_UNTIL_OPEN)
     late = take_message(simulation, Open, rank=0)
     simulation.replace_rank(0)
