--- a/src/azurefold/core/configuration/__init__.py
+++ b/src/azurefold/core/configuration/__init__.py
@@ -1,1 +1,4 @@
-"""Configuration revisions: accepted, spread and applied upward only."""
+"""Acceptance and distribution of configuration revisions.
+
+A process only ever moves to a newer revision, never back to an older one.
+"""
--- a/src/azurefold/core/configuration/acceptance.py
+++ b/src/azurefold/core/configuration/acceptance.py
@@ -1,10 +1,10 @@
-"""Whether an edit was accepted: one conditional write and its doubtful ends.
+"""Submitting an edit by a conditional write and determining its outcome.
 
-Accepted means that the write of the head took effect. The write carries the
-edit's id in a row of its own, named after the revision, in the same
-transaction. After a lost answer the very same transaction is handed in again:
-it takes effect at most once, since its condition holds only as long as nothing
-was written upon the base; and a conflict shows whose edit got the revision.
+An edit is accepted when the write of its head takes effect. The same
+transaction also writes the edit's id to a row named after the revision. If the
+answer is lost, the identical transaction is submitted again. It takes effect at
+most once, because its condition holds only while the base is unchanged. On a
+conflict, the row shows which edit got the revision.
 """
 
 from dataclasses import dataclass
@@ -31,19 +31,19 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteSucceeded:
-    """The platform said that the write took effect."""
+    """The platform confirmed that the write took effect."""
 
 
 @dataclass(frozen=True, slots=True)
 class WriteConflict:
-    """The platform said that the condition did not hold.
+    """The platform rejected the write because its condition did not hold.
 
     Parameters
     ----------
     current : HeadId or None
-        The head that is in the table now.
+        Id of the head that is in the table now.
     edit_id : str
-        Edit that has the revision asked for; empty if none has it.
+        Edit that got the requested revision; empty if none did.
     """
 
     current: HeadId | None
@@ -52,17 +52,17 @@
 
 @dataclass(frozen=True, slots=True)
 class OutcomeUnknown:
-    """The answer was lost; the write may have taken effect, or yet may."""
+    """The answer was lost; the write may have taken effect or may do so later."""
 
 
 @dataclass(frozen=True, slots=True)
 class WriteNotApplied:
-    """The write certainly did not take effect.
+    """The write is known not to have taken effect.
 
     Parameters
     ----------
     reason : str
-        Why not.
+        Reason for the failure.
     """
 
     reason: str
@@ -73,14 +73,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Submit:
-    """Hand in the transaction after a wait.
+    """Submit the transaction after a delay.
 
     Parameters
     ----------
     head : Head
-        The same head each time.
+        The head to write; the same in every attempt.
     after_ms : int
-        Wait before it, in milliseconds.
+        Delay before the attempt, in milliseconds.
     """
 
     head: Head
@@ -101,9 +101,9 @@
     Parameters
     ----------
     reason : str
-        Why not.
+        Reason for the rejection or failure.
     current : HeadId or None
-        The head that is in the table instead, if it is known.
+        Id of the head that is in the table instead, if known.
     """
 
     reason: str
@@ -112,7 +112,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AcceptanceUnknown:
-    """Nobody can say yet; asking again with the edit's id will tell."""
+    """The outcome could not be determined; it can be queried by the edit's id."""
 
     head_id: HeadId
 
@@ -121,16 +121,16 @@
 
 
 class Acceptance:
-    """One edit on its way to being accepted.
+    """Submits one edit and retries until its outcome is known or time runs out.
 
     Parameters
     ----------
     head : Head
-        What is to become the head.
+        The head that the edit proposes.
     deadline : int
-        When to stop asking, in milliseconds.
+        Time after which no attempt is made, in milliseconds.
     retry_ms : int, default=200
-        Wait between two tries.
+        Delay between two attempts, in milliseconds.
     """
 
     def __init__(
@@ -139,40 +139,41 @@
         self._head = head
         self._deadline = deadline
         self._retry_ms = retry_ms
-        self._in_doubt = False
+        self._has_unknown_attempt = False
 
     def start(self) -> Submit:
         """Return the first action."""
         return Submit(self._head, 0)
 
-    def handle(self, event: WriteResult, now: Millis) -> Submit | Outcome:
-        """Return what follows from ``event`` at ``now``."""
-        match event:
+    def handle(self, result: WriteResult, now: Millis) -> Submit | Outcome:
+        """Return the next attempt or the outcome after ``result`` at ``now``."""
+        match result:
             case WriteSucceeded():
                 return Accepted(self._head.head_id)
             case WriteConflict():
-                return self._after_conflict(event)
+                return self._resolve_conflict(result)
             case OutcomeUnknown():
-                self._in_doubt = True
-                return self._again_or_give_up("its answer was lost", now)
+                self._has_unknown_attempt = True
+                return self._retry_or_give_up("its answer was lost", now)
             case WriteNotApplied(reason=reason):
-                return self._again_or_give_up(reason, now)
+                return self._retry_or_give_up(reason, now)
 
-    def _after_conflict(self, conflict: WriteConflict) -> Outcome:
-        # What goes wrong without this: the answer to a write that took effect
-        # is lost, the repeat meets its own row, and the operator is told that
-        # a rival won. One would notice an edit in force that was "refused".
+    def _resolve_conflict(self, conflict: WriteConflict) -> Outcome:
+        # A retry conflicts with the edit's own row if an earlier attempt took
+        # effect and its answer was lost. Without this check the operator would
+        # see "refused" for an edit that is in effect.
         if conflict.edit_id == self._head.edit_id:
             return Accepted(self._head.head_id)
-        if self._in_doubt and not conflict.edit_id:
-            # The table has neither this edit nor another under the revision:
-            # its row was pruned or the store was restored. No proof is left.
+        if self._has_unknown_attempt and not conflict.edit_id:
+            # The table has no edit under the revision, neither this one nor
+            # another. The row was pruned or the store was restored, so the
+            # outcome can no longer be proved.
             return AcceptanceUnknown(self._head.head_id)
         return NotAccepted("the base has changed meanwhile", conflict.current)
 
-    def _again_or_give_up(self, reason: str, now: Millis) -> Submit | Outcome:
+    def _retry_or_give_up(self, reason: str, now: Millis) -> Submit | Outcome:
         if now + self._retry_ms < self._deadline:
             return Submit(self._head, self._retry_ms)
-        if self._in_doubt:
+        if self._has_unknown_attempt:
             return AcceptanceUnknown(self._head.head_id)
         return NotAccepted(f"the platform did not take it: {reason}")
--- a/src/azurefold/core/configuration/changes.py
+++ b/src/azurefold/core/configuration/changes.py
@@ -1,4 +1,4 @@
-"""What differs between two configurations, in words for operators."""
+"""Differences between two configurations, for display to operators."""
 
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 
 
 class ChangeKind(StrEnum):
-    """What happened to a part."""
+    """How a value differs between two configurations."""
 
     ADDED = "added"
     REMOVED = "removed"
@@ -20,16 +20,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One part that differs.
+    """One value that differs.
 
     Parameters
     ----------
     kind : ChangeKind
-        What happened to it.
+        How it differs.
     path : str
-        For example ``services.bookings.limits.timeout_ms``.
+        Dotted path, for example ``services.bookings.limits.timeout_ms``.
     old, new : object
-        Plain JSON values; ``None`` where there is none.
+        Plain JSON values; ``None`` where the value is absent.
     """
 
     kind: ChangeKind
@@ -39,7 +39,7 @@
 
 
 def find_changes(old: Any, new: Any) -> list[Change]:
-    """Return what turns ``old`` into ``new``, sorted by path.
+    """Return the changes that turn ``old`` into ``new``, sorted by path.
 
     Examples
     --------
@@ -52,7 +52,7 @@
 def find_changed_names(
     old: Mapping[str, Any], new: Mapping[str, Any]
 ) -> tuple[str, ...]:
-    """Return services and organisations that differ.
+    """Return the services and organisations that differ, as sorted paths.
 
     Examples
     --------
@@ -61,23 +61,23 @@
     ('organisations.o', 'services.a')
     """
     names = set()
-    for kind in ("services", "organisations"):
-        before, after = old.get(kind, {}), new.get(kind, {})
+    for category in ("services", "organisations"):
+        before, after = old.get(category, {}), new.get(category, {})
         for name in before.keys() | after.keys():
             if before.get(name, _ABSENT) != after.get(name, _ABSENT):
-                names.add(f"{kind}.{name}")
+                names.add(f"{category}.{name}")
     return tuple(sorted(names))
 
 
 def _walk(path: tuple[str, ...], old: Any, new: Any) -> Iterator[Change]:
-    where = ".".join(path)
+    dotted_path = ".".join(path)
     if old is _ABSENT:
-        yield Change(ChangeKind.ADDED, where, new=new)
+        yield Change(ChangeKind.ADDED, dotted_path, new=new)
     elif new is _ABSENT:
-        yield Change(ChangeKind.REMOVED, where, old=old)
+        yield Change(ChangeKind.REMOVED, dotted_path, old=old)
     elif isinstance(old, dict) and isinstance(new, dict):
         for key in old.keys() | new.keys():
             before, after = old.get(key, _ABSENT), new.get(key, _ABSENT)
             yield from _walk((*path, key), before, after)
     elif old != new:
-        yield Change(ChangeKind.CHANGED, where, old, new)
+        yield Change(ChangeKind.CHANGED, dotted_path, old, new)
--- a/src/azurefold/core/configuration/first_fetch.py
+++ b/src/azurefold/core/configuration/first_fetch.py
@@ -1,15 +1,16 @@
-"""When a process that holds nothing reads the whole configuration.
-
-All nodes that start at once see the head at once. If each read its some 300
-sections, 390 of them would ask the platform for more than 100,000 objects, and
-it would refuse most: one sees a start that takes seconds longer, and leases that
-cannot be renewed meanwhile. So each waits a drawn time, and whoever hears of a
-peer that holds the head asks that peer in place of the platform.
-
-The wait is that of feedback suppression with exponential timers (Nonnenmacher
-and Biersack, Scalable Feedback for Large Groups, 1999): of n processes about one
-draws a wait near zero, however large n is, and the number that read before the
-first one's announcement reaches them does not grow with n.
+"""Delays the first fetch of the whole configuration from the platform.
+
+All nodes that start together see the head at the same time. If each fetched its
+roughly 300 sections at once, 390 nodes would request more than 100,000 objects
+and the platform would refuse most of them. Starting would take seconds longer,
+and leases could not be renewed meanwhile. So each process waits for a random
+delay, and a process that learns of a peer with the head fetches from that peer
+instead of the platform.
+
+The delay is that of feedback suppression with exponential timers (Nonnenmacher
+and Biersack, Scalable Feedback for Large Groups, 1999). Of n processes, about one
+draws a delay near zero, however large n is. The number that fetch before the
+announcement of the first one reaches them does not grow with n.
 """
 
 from math import log
@@ -20,21 +21,23 @@
 
 __all__ = ["FirstFetchDelay", "compute_fetch_delay"]
 
-_MAY_READ_TOGETHER = 6
-"""Processes that need no wait: each reads some 290 of 2,000 reads a second."""
+_MAX_UNDELAYED_PROCESSES = 6
+"""Up to this many processes fetch without a delay: each makes some 290 reads, and
+the platform serves 2,000 reads a second."""
 
 
 def compute_fetch_delay(n_peers: int, jitter: float, scale_ms: Millis) -> Millis:
-    """Return how long to wait for peers before reading from the platform.
+    """Return the delay before fetching from the platform, in milliseconds.
 
     Parameters
     ----------
     n_peers : int
         Other processes that may start at the same time.
     jitter : float
-        Drawn from [0, 1).
+        Random number from [0, 1).
     scale_ms : int
-        Some time more than one needs to read all and to tell the others.
+        A little longer than one process needs to fetch all sections and announce
+        the head to its peers.
 
     Examples
     --------
@@ -43,14 +46,14 @@
     >>> compute_fetch_delay(389, 0.5, 1_000)
     5272
     """
-    if n_peers + 1 <= _MAY_READ_TOGETHER:
+    if n_peers + 1 <= _MAX_UNDELAYED_PROCESSES:
         return 0
-    expected_before = (n_peers + 1) * jitter
-    return int(scale_ms * log(max(1.0, expected_before)))
+    expected_earlier_fetches = (n_peers + 1) * jitter
+    return int(scale_ms * log(max(1.0, expected_earlier_fetches)))
 
 
 class FirstFetchDelay:
-    """Holds the platform's offer back from a process that holds nothing.
+    """Defers fetching the platform's head in a process that has no configuration.
 
     Parameters
     ----------
@@ -60,23 +63,23 @@
 
     def __init__(self, scale_ms: Millis) -> None:
         self._scale_ms = scale_ms
-        self._wait_ms: Millis = 0
-        self._mark: HeadId | None = None
+        self._delay_ms: Millis = 0
+        self._deferred: HeadId | None = None
         self._due_at: Millis = 0
 
-    def draw(self, tick: Tick) -> None:
-        """Draw the wait of the next offer."""
-        self._wait_ms = compute_fetch_delay(tick.n_peers, tick.jitter, self._scale_ms)
+    def draw_delay(self, tick: Tick) -> None:
+        """Draw the delay of the next deferred fetch."""
+        self._delay_ms = compute_fetch_delay(tick.n_peers, tick.jitter, self._scale_ms)
 
-    def hold(self, head_id: HeadId, now: Millis) -> None:
-        """Hold an offer back; one that is held already keeps its moment."""
-        if self._mark is None:
-            self._due_at = now + self._wait_ms
-        self._mark = head_id
+    def defer(self, head_id: HeadId, now: Millis) -> None:
+        """Defer fetching ``head_id``; a fetch already deferred keeps its due time."""
+        if self._deferred is None:
+            self._due_at = now + self._delay_ms
+        self._deferred = head_id
 
-    def release(self, now: Millis) -> HeadId | None:
-        """Return the offer once its moment has come; then it is held no more."""
-        if self._mark is None or now < self._due_at:
+    def take_due(self, now: Millis) -> HeadId | None:
+        """Remove and return the deferred head id if it is due, else ``None``."""
+        if self._deferred is None or now < self._due_at:
             return None
-        head_id, self._mark = self._mark, None
+        head_id, self._deferred = self._deferred, None
         return head_id
--- a/src/azurefold/core/configuration/head.py
+++ b/src/azurefold/core/configuration/head.py
@@ -1,9 +1,10 @@
-"""The head of the configuration: which content a revision stands for.
+"""The head of the configuration, which maps a revision to its content.
 
-A revision number alone does not say that. When the platform's store is restored
-from an older copy, numbers that were given out already are given out again for
-other content. So each accepted edit has a random id, and a head names the edits
-it was built upon: two heads are of one line only if one names the other.
+A revision number alone does not identify content: after the platform's store is
+restored from an older copy, the same numbers are assigned again to other
+content. So each accepted edit has a random id, and a head lists the ids of the
+edits it was built upon. Two heads are on the same branch only if one lists the
+other.
 """
 
 import json
@@ -31,20 +32,20 @@
 ]
 
 MAX_CHAIN_LENGTH = 32
-"""Edits that a head remembers. A process further behind than this cannot tell
-an ancestor from a stranger and takes the head for a stranger, with an alarm."""
+"""Edits that a head lists. An older head beyond these cannot be recognised as an
+ancestor by the chain alone; :func:`classify_relation` classifies it as forked."""
 
 
 @dataclass(frozen=True, slots=True)
 class HeadId:
-    """A head in short, small enough for each heartbeat and poll.
+    """Identifies a head; small enough for every heartbeat and poll.
 
     Parameters
     ----------
     revision : int
-        Counts accepted edits; 0 means that none has been accepted.
+        Number of the accepted edit; 0 if none has been accepted.
     edit_id : str
-        Random id of the edit that made this revision.
+        Random id of the edit that created this revision.
     digest : str
         Hash over the sections' hashes.
     """
@@ -56,18 +57,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Head:
-    """An accepted configuration.
+    """An accepted configuration, as the content hashes of its sections.
 
     Parameters
     ----------
     revision : int
-        Counts accepted edits.
+        Number of the accepted edit.
     edit_id : str
-        Random id of the edit that made this revision.
+        Random id of the edit that created this revision.
     sections : dict of str to str
         Content hash of each section by name.
     chain : tuple of str
-        Ids of the edits before this one, the newest first.
+        Ids of the preceding edits, newest first.
     """
 
     revision: int
@@ -77,28 +78,28 @@
 
     @property
     def head_id(self) -> HeadId:
-        """This head in short."""
+        """Revision, edit id and digest of this head."""
         digest = content_hash(canonical_bytes(self.sections))
         return HeadId(self.revision, self.edit_id, digest)
 
 
 NO_HEAD = Head(0, "", {})
-"""Before the first accepted edit."""
+"""Placeholder for the head before the first accepted edit."""
 
 
 class HeadRelation(Enum):
-    """How a mark that was heard stands to the head that is held."""
+    """How a received head id relates to the head that is held."""
 
     SAME = auto()
     NEWER = auto()
     ANCESTOR = auto()
-    """Older, and this head was built upon it."""
+    """Older, and the held head was built upon it."""
     FORKED = auto()
-    """Same number or lower, but of another line."""
+    """Same or lower revision, but not known to be on the same branch."""
 
 
-def classify_relation(held: Head, heard: HeadId) -> HeadRelation:
-    """Return how ``heard`` stands to ``held``.
+def classify_relation(held: Head, received: HeadId) -> HeadRelation:
+    """Return how ``received`` relates to ``held``.
 
     Examples
     --------
@@ -108,22 +109,24 @@
     >>> classify_relation(held, HeadId(5, "other", "")).name
     'FORKED'
     """
-    if heard.revision > held.revision:
+    if received.revision > held.revision:
         return HeadRelation.NEWER
-    if heard.revision == held.revision:
-        same = heard.edit_id == held.edit_id
-        return HeadRelation.SAME if same else HeadRelation.FORKED
+    if received.revision == held.revision:
+        is_same_edit = received.edit_id == held.edit_id
+        return HeadRelation.SAME if is_same_edit else HeadRelation.FORKED
     return (
-        HeadRelation.ANCESTOR if is_descendant_of(held, heard) else HeadRelation.FORKED
+        HeadRelation.ANCESTOR
+        if is_descendant_of(held, received)
+        else HeadRelation.FORKED
     )
 
 
 def is_descendant_of(head: Head, older: HeadId) -> bool:
-    """Return whether the chain of ``head`` is known to name ``older``."""
+    """Return whether the chain of ``head`` is known to contain ``older``."""
     if older.revision == NO_HEAD.revision:
         return True
-    back = head.revision - older.revision - 1
-    return 0 <= back < len(head.chain) and head.chain[back] == older.edit_id
+    position = head.revision - older.revision - 1
+    return 0 <= position < len(head.chain) and head.chain[position] == older.edit_id
 
 
 def build_next_head(
@@ -134,17 +137,19 @@
     Parameters
     ----------
     base : Head
-        What it is built upon.
+        Head that the edit is based on.
     edit_id : str
         Random id of the edit.
     sections : mapping of str to str
         Content hash of each section by name.
     held_revision : int, default=0
-        A revision that processes hold already though the restored store does
-        not: the new one must be higher, or they would not take it.
+        Highest revision that processes hold although the restored store does
+        not. The new revision must be higher, because a process never applies
+        an older one.
     """
     if held_revision > base.revision:
-        # Numbers are skipped, so places in the chain would name wrong edits.
+        # Revisions are skipped, so positions in the chain would no longer match
+        # revisions. The chain is left empty.
         return Head(held_revision + 1, edit_id, dict(sections))
     chain = (base.edit_id, *base.chain) if base.revision else ()
     return Head(base.revision + 1, edit_id, dict(sections), chain[:MAX_CHAIN_LENGTH])
@@ -152,18 +157,18 @@
 
 @dataclass(frozen=True, slots=True)
 class HeadDelta:
-    """What turns a head that is known into another.
+    """The difference between a head that the receiver holds and a newer one.
 
     Parameters
     ----------
     base : str
-        Digest of the head that is known.
+        Digest of the head that the receiver holds.
     revision, edit_id, chain
         As in the new head.
     changed : dict of str to str
-        Hashes of new and changed sections.
+        Content hashes of added and changed sections, by name.
     removed : tuple of str
-        Names of sections that are gone.
+        Names of removed sections.
     """
 
     base: str
@@ -175,7 +180,7 @@
 
 
 def compute_delta(base: Head, head: Head) -> HeadDelta:
-    """Return what turns ``base`` into ``head``."""
+    """Return the delta that turns ``base`` into ``head``."""
     changed = {
         name: hashed
         for name, hashed in head.sections.items()
@@ -198,54 +203,57 @@
     Raises
     ------
     ValueError
-        If the delta starts from another head; ask for the whole head then.
+        If the delta was computed from another base. The whole head must be
+        fetched then.
     """
     if delta.base != base.head_id.digest:
-        raise ValueError("the delta starts from another head; ask for the whole one")
+        raise ValueError(
+            "the delta was computed from another base; fetch the whole head"
+        )
     sections = {**base.sections, **delta.changed}
     for name in delta.removed:
         sections.pop(name, None)
     return Head(delta.revision, delta.edit_id, sections, delta.chain)
 
 
-def encode_json(part: Head | HeadId) -> str:
-    """Return ``part`` as JSON in its one spelling."""
-    return canonical_bytes(asdict(part)).decode("utf-8")
+def encode_json(value: Head | HeadId) -> str:
+    """Return ``value`` as canonical JSON."""
+    return canonical_bytes(asdict(value)).decode("utf-8")
 
 
 def decode_head(text: str) -> Head:
-    """Return the head that :func:`encode_json` wrote.
+    """Return the head that :func:`encode_json` encoded.
 
     Raises
     ------
     ValueError
-        If the text is anything else.
+        If the text is not valid.
     """
-    raw = _object(text)
+    raw = _decode_object(text)
     try:
         sections = {str(k): str(v) for k, v in raw["sections"].items()}
-        chain = tuple(str(each) for each in raw["chain"])
+        chain = tuple(str(edit_id) for edit_id in raw["chain"])
         return Head(int(raw["revision"]), str(raw["edit_id"]), sections, chain)
     except (KeyError, TypeError, AttributeError) as error:
-        raise ValueError(f"not a head: {error}") from error
+        raise ValueError(f"malformed head: {error}") from error
 
 
 def decode_head_id(text: str) -> HeadId:
-    """Return the mark that :func:`encode_json` wrote.
+    """Return the head id that :func:`encode_json` encoded.
 
     Raises
     ------
     ValueError
-        If the text is anything else.
+        If the text is not valid.
     """
-    raw = _object(text)
+    raw = _decode_object(text)
     try:
         return HeadId(int(raw["revision"]), str(raw["edit_id"]), str(raw["digest"]))
     except (KeyError, TypeError) as error:
-        raise ValueError(f"not a mark: {error}") from error
+        raise ValueError(f"malformed head id: {error}") from error
 
 
-def _object(text: str) -> dict:
+def _decode_object(text: str) -> dict:
     raw = json.loads(text)
     if not isinstance(raw, dict):
         raise ValueError("not a JSON object")
--- a/src/azurefold/core/configuration/messages.py
+++ b/src/azurefold/core/configuration/messages.py
@@ -1,4 +1,4 @@
-"""What a follower of the configuration hears, and what it wants done."""
+"""Events that a follower of the configuration handles, and actions it returns."""
 
 from dataclasses import dataclass
 from enum import Enum, auto
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Peer:
-    """Another process, by name."""
+    """Another process, identified by its name."""
 
     name: str
 
@@ -49,17 +49,17 @@
 
 @dataclass(frozen=True, slots=True)
 class AnnouncementReceived:
-    """A peer announced what it holds.
+    """A peer announced the head that it has applied.
 
     Parameters
     ----------
     head_id : HeadId
         The head that the peer has applied.
     peer : Peer
-        Who said so.
+        The sender.
     age_ms : int or None
-        How long ago the platform was looked at, by the peer or by whom it
-        heard from; ``None`` if it does not know.
+        Time since the platform was last polled, by the peer itself or by a
+        process whose announcement it received; ``None`` if unknown.
     """
 
     head_id: HeadId
@@ -69,11 +69,12 @@
 
 @dataclass(frozen=True, slots=True)
 class HeadAnnouncement:
-    """What a process tells its peers of the head it has applied.
+    """The message that announces a process's applied head to its peers.
 
     Parameters
     ----------
     head_id : HeadId
+        The head that the sender has applied.
     age_ms : int or None
         As in :class:`AnnouncementReceived`.
     """
@@ -89,9 +90,9 @@
     Parameters
     ----------
     head_id : HeadId or None
-        The head in the table; ``None`` if there is none.
+        Id of the head in the table; ``None`` if there is none.
     row_version : int or None
-        Version of the mark's row, the condition for writing over it.
+        Version of the row that holds the head id; the condition of a write.
     """
 
     head_id: HeadId | None
@@ -105,7 +106,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HeadFetched:
-    """A whole head came, a delta already applied."""
+    """A head was fetched; if it came as a delta, the delta has been applied."""
 
     head: Head
     source: Source
@@ -113,7 +114,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SectionsFetched:
-    """Contents came, by their hashes; perhaps not all that were asked for."""
+    """Section contents were fetched, possibly not all that were requested."""
 
     contents: dict[str, bytes]
     source: Source
@@ -121,27 +122,27 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchFailed:
-    """A source did not answer, or does not have what was asked for."""
+    """A source did not answer or does not have what was requested."""
 
     source: Source
 
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """Time passes; wanted some five times a second.
+    """Time has passed; expected about five times a second.
 
     Parameters
     ----------
-    live : frozenset of str
-        Control processes believed live in this data centre, itself included.
+    live_controls : frozenset of str
+        Control processes considered live in this data centre, including this one.
     jitter : float
-        A number drawn from [0, 1) for this tick.
+        Random number from [0, 1), drawn for this tick.
     n_peers : int, default=0
-        Other control processes named in the settings, in all data centres;
-        unlike ``live`` it is known before anybody is heard.
+        Other control processes named in the settings, in all data centres.
+        Unlike ``live_controls``, it is known before any message has arrived.
     """
 
-    live: frozenset[str]
+    live_controls: frozenset[str]
     jitter: float
     n_peers: int = 0
 
@@ -159,21 +160,22 @@
 
 @dataclass(frozen=True, slots=True)
 class PollNow:
-    """Read the mark's row from the platform."""
+    """Read the row that holds the head id from the platform."""
 
 
 @dataclass(frozen=True, slots=True)
 class FetchHead:
-    """Get the head that ``head_id`` names.
+    """Fetch the head that ``head_id`` identifies.
 
     Parameters
     ----------
     source : Peer or Platform
-        Whom to ask.
+        Where to fetch it.
     head_id : HeadId
-        What is wanted; a newer head is welcome as well.
+        The requested head; a newer one is accepted as well.
     base_digest : str
-        Digest of the head that is held: a peer that knows it may send a delta.
+        Digest of the head that is held. A peer that knows this head may send a
+        delta.
     """
 
     source: Source
@@ -183,7 +185,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchSections:
-    """Get contents by their hashes."""
+    """Fetch section contents by their hashes."""
 
     source: Source
     hashes: tuple[str, ...]
@@ -191,7 +193,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Apply:
-    """Put this configuration in force in this process."""
+    """Make this configuration the active one in this process."""
 
     head: Head
     sections: Sections
@@ -199,9 +201,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Announce:
-    """Tell peers what is held and how fresh the knowledge is.
+    """Announce the applied head and its age to peers.
 
-    It is soft state: losing it costs time only.
+    Announcements are soft state: a lost one only delays peers.
     """
 
     head_id: HeadId
@@ -209,21 +211,21 @@
 
 
 class AlarmKind(Enum):
-    """What an operator must look at."""
+    """Why an operator has to act."""
 
     RESTORED = auto()
-    """The platform shows an older head than this process holds."""
+    """The platform shows an older head than the one that this process holds."""
     FORKED = auto()
-    """One revision number stands for two edits."""
+    """One revision has two edits, or an older head is not a known ancestor."""
     LINE_REPLACED = auto()
-    """A newer head was not built upon the one that was held."""
+    """A newer head was not built upon the head that was held."""
     DAMAGED = auto()
-    """A head came whose content is not what its mark says."""
+    """The content of a fetched head does not match the digest in its id."""
 
 
 @dataclass(frozen=True, slots=True)
 class Alarm:
-    """Something an operator must know, raised once for each pair of heads."""
+    """A condition reported to operators, once for each kind and pair of heads."""
 
     kind: AlarmKind
     held: HeadId
@@ -232,16 +234,17 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteBack:
-    """Put the held head back over an older copy in the platform.
+    """Write the held head over an older copy in the platform.
 
     Parameters
     ----------
     head : Head
-        What is held.
+        The head that this process holds.
     sections : dict of str to bytes
-        Its contents, which the store may have lost too.
+        Its section contents, which the restored store may lack too.
     expected_version : int or None
-        Version of the mark's row that was seen; the write's condition.
+        Version of the row that holds the head id, as last read; the condition
+        of the write.
     """
 
     head: Head
--- a/src/azurefold/core/configuration/model.py
+++ b/src/azurefold/core/configuration/model.py
@@ -1,4 +1,4 @@
-"""The configuration as the processes use it, once it has been validated."""
+"""The validated configuration as the processes use it."""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
@@ -20,14 +20,14 @@
 
 
 class ServiceKind(StrEnum):
-    """What stands behind a service's endpoints."""
+    """What a service's endpoints run."""
 
     MODEL = "model"
     PLAIN = "plain"
 
 
 class Priority(StrEnum):
-    """Class of a service's requests, the more urgent one first."""
+    """Priority class of a service's requests, most urgent first."""
 
     CONFIRMATION = "confirmation"
     DRAFT = "draft"
@@ -35,16 +35,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Objectives:
-    """What a service promises its callers.
+    """Latency objectives of a service.
 
     Parameters
     ----------
     first_token_ms : int
-        Limit for the first token, or for the answer of a plain service.
+        Time limit for the first token, or for the answer of a plain service.
     between_tokens_ms : int
-        Limit for the time between two tokens.
+        Time limit between two tokens.
     target_share : float
-        Share of requests that must keep the limits, in (0, 1).
+        Share of requests that must meet the limits, in (0, 1).
     """
 
     first_token_ms: Millis = 1_100
@@ -54,16 +54,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What a service bears.
+    """Limits on the requests of a service.
 
     Parameters
     ----------
     timeout_ms : int
-        Longest time for one request.
+        Maximum duration of one request.
     max_queue : int
-        Most requests waiting at one entry.
+        Maximum number of requests queued at one entry.
     concurrency : int
-        Most requests under way at one endpoint.
+        Maximum number of requests in flight at one endpoint.
     """
 
     timeout_ms: Millis = 30_000
@@ -73,14 +73,15 @@
 
 @dataclass(frozen=True, slots=True)
 class BookingHours:
-    """A window of each day in which moving experts is dearer.
+    """A daily window in which moving experts costs more.
 
     Parameters
     ----------
     start_minute, end_minute : int
-        Minutes since midnight UTC; an end before the start passes midnight.
+        Minutes since midnight UTC. If the end is before the start, the window
+        spans midnight.
     move_factor : float
-        What ``move_weight`` is multiplied by in the window.
+        Factor applied to ``move_weight`` within the window.
     """
 
     start_minute: int
@@ -90,14 +91,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Balance:
-    """How even load is weighed against the cost of moving experts.
+    """Weights for balancing load against the cost of moving experts.
 
     Parameters
     ----------
     skew_weight, move_weight : float
-        Weights of the slowest rank's excess and of moves.
+        Weights of the slowest rank's excess load and of moves.
     booking_hours : tuple of BookingHours
-        Windows in which moves are dearer.
+        Windows in which moves cost more.
     """
 
     skew_weight: float = 1.0
@@ -112,9 +113,9 @@
     Parameters
     ----------
     name : str
-        Unique in the whole configuration.
+        Name, unique in the whole configuration.
     endpoints : tuple of str, shape (n_ranks,)
-        The endpoint of each rank.
+        Endpoint of each rank, by rank.
     """
 
     name: str
@@ -141,18 +142,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Organisation:
-    """A caller's organisation.
+    """An organisation whose callers send requests.
 
     Parameters
     ----------
     name : str
-        Its name.
+        Name of the organisation.
     share : float
-        Weight in the fair share within a priority class.
+        Weight in fair sharing within a priority class.
     requests_per_second, tokens_per_second : float or None
-        Rate limits over all entries; ``None`` means no limit.
+        Rate limits across all entries; ``None`` means no limit.
     api_key_sha256 : str
-        Hash of its key in hexadecimal digits; empty if it needs none.
+        Hash of its API key in hexadecimal digits; empty if it needs no key.
     """
 
     name: str
@@ -164,13 +165,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """Everything operators have accepted, by name."""
+    """The accepted services and organisations, by name."""
 
     services: dict[str, Service] = field(default_factory=dict)
     organisations: dict[str, Organisation] = field(default_factory=dict)
 
     def find_service(self, endpoint: str) -> Service | None:
-        """Return the service that ``endpoint`` belongs to."""
+        """Return the service that ``endpoint`` belongs to, or ``None``."""
         for service in self.services.values():
             if endpoint in service.endpoints:
                 return service
--- a/src/azurefold/core/configuration/pollers.py
+++ b/src/azurefold/core/configuration/pollers.py
@@ -1,7 +1,8 @@
-"""Which control processes look at the platform for the rest.
+"""Chooses the control processes that poll the platform on behalf of the others.
 
-If all 390 polled each second they would take a fifth of the platform's reads.
-Two for each data centre do; two, so that one death delays nobody.
+If all 390 processes polled every second, they would use a fifth of the
+platform's reads. Two pollers per data centre are enough: with two, the failure
+of one delays nobody.
 """
 
 import hashlib
@@ -13,20 +14,21 @@
 
 
 def choose_pollers(
-    live: Iterable[str], data_centre: str, n_pollers: int = N_POLLERS
+    live_controls: Iterable[str], data_centre: str, n_pollers: int = N_POLLERS
 ) -> tuple[str, ...]:
-    """Choose pollers by rendezvous hash, without any agreement.
+    """Choose pollers by rendezvous hashing, without coordination.
 
     Parameters
     ----------
-    live : iterable of str
-        Names of the control processes believed live in the data centre.
-        Processes that believe different things choose differently for a
-        while; that costs a few reads more, or the self-poll steps in.
+    live_controls : iterable of str
+        Names of the control processes considered live in the data centre.
+        Processes with different views choose differently for a while. This
+        costs a few extra reads, or processes poll for themselves once their
+        information is stale.
     data_centre : str
-        Salt, so that names used twice spread differently.
+        Salt, so that the same names in two data centres hash differently.
     n_pollers : int, default=2
-        How many to choose.
+        Number of pollers to choose.
 
     Examples
     --------
@@ -37,4 +39,4 @@
     def weight(name: str) -> bytes:
         return hashlib.sha256(f"{data_centre}\0{name}".encode()).digest()
 
-    return tuple(sorted(set(live), key=weight, reverse=True)[:n_pollers])
+    return tuple(sorted(set(live_controls), key=weight, reverse=True)[:n_pollers])
--- a/src/azurefold/core/configuration/schedule.py
+++ b/src/azurefold/core/configuration/schedule.py
@@ -1,4 +1,4 @@
-"""When a process looks at the platform itself."""
+"""Schedules a process's own polls of the platform."""
 
 from dataclasses import dataclass
 
@@ -11,17 +11,18 @@
 
 @dataclass(frozen=True, slots=True)
 class FollowerPolicy:
-    """Times of a follower, in milliseconds.
+    """Intervals and timeouts of a follower, in milliseconds.
 
     Parameters
     ----------
     poll_interval_ms : int
-        Between two looks of a chosen poller.
+        Time between two polls of a chosen poller.
     stale_after_ms : int
-        Without fresh news for so long, a process looks by itself, at a moment
-        drawn from as long again, so that an outage's end meets no herd.
+        Time without a confirmation after which a process polls for itself. A
+        random delay of up to the same length is added, so that not all
+        processes poll at once when an outage ends.
     fetch_timeout_ms : int
-        After which another source is asked.
+        Time after which another source is asked.
     first_fetch_scale_ms : int
         See :func:`azurefold.core.configuration.first_fetch.compute_fetch_delay`.
     """
@@ -33,56 +34,63 @@
 
 
 class PollSchedule:
-    """Polls of one process: each second if chosen, else only when news is old.
+    """Decides when one process polls the platform.
+
+    A chosen poller polls at a fixed interval, any other process only when its
+    last confirmation is stale.
 
     Parameters
     ----------
     name, data_centre : str
-        Of this process.
+        Name and data centre of this process.
     policy : FollowerPolicy
-        Its times.
+        Intervals and timeouts.
     """
 
     def __init__(self, name: str, data_centre: str, policy: FollowerPolicy) -> None:
         self._name = name
         self._data_centre = data_centre
         self._policy = policy
-        self._fresh_at: Millis | None = None
+        self._confirmed_at: Millis | None = None
         self._polled_at: Millis | None = None
         self._due_at: Millis | None = None
 
     def age_ms(self, now: Millis) -> Millis | None:
-        """Return the age of the last look that anybody told of, or ``None``."""
-        return None if self._fresh_at is None else now - self._fresh_at
+        """Return the time since the last confirmation, or ``None`` if there is none."""
+        return None if self._confirmed_at is None else now - self._confirmed_at
 
-    def record_confirmation(self, at: Millis) -> None:
-        """Note that the platform had nothing newer at ``at``."""
-        if self._fresh_at is not None and at <= self._fresh_at:
+    def record_confirmation(self, confirmed_at: Millis) -> None:
+        """Record that the platform had nothing newer at ``confirmed_at``."""
+        if self._confirmed_at is not None and confirmed_at <= self._confirmed_at:
             return
-        self._fresh_at = at
+        self._confirmed_at = confirmed_at
         self._due_at = None
 
     def is_due(self, tick: Tick, now: Millis) -> bool:
-        """Return whether to look now; if so, the look counts as begun."""
-        is_poller = self._name in choose_pollers(tick.live, self._data_centre)
-        since = self._since(now)
+        """Return whether to poll now; if so, record the poll as started."""
+        is_poller = self._name in choose_pollers(tick.live_controls, self._data_centre)
+        last_activity_at = self._find_last_activity(now)
         if self._due_at is None:
-            self._due_at = since + self._wait(is_poller, tick.jitter)
+            self._due_at = last_activity_at + self._compute_delay(
+                is_poller, tick.jitter
+            )
         if is_poller:
-            soon = since + self._policy.poll_interval_ms
-            self._due_at = min(self._due_at, soon)
+            next_poll_at = last_activity_at + self._policy.poll_interval_ms
+            self._due_at = min(self._due_at, next_poll_at)
         if now < self._due_at:
             return False
         self._polled_at = now
         self._due_at = None
         return True
 
-    def _since(self, now: Millis) -> Millis:
-        known = [at for at in (self._fresh_at, self._polled_at) if at is not None]
-        return max(known, default=now)
+    def _find_last_activity(self, now: Millis) -> Millis:
+        known_times = [
+            at for at in (self._confirmed_at, self._polled_at) if at is not None
+        ]
+        return max(known_times, default=now)
 
-    def _wait(self, is_poller: bool, jitter: float) -> Millis:
-        if self._polled_at is None and self._fresh_at is None:
+    def _compute_delay(self, is_poller: bool, jitter: float) -> Millis:
+        if self._polled_at is None and self._confirmed_at is None:
             return int(jitter * self._policy.poll_interval_ms)
         if is_poller:
             return self._policy.poll_interval_ms
--- a/src/azurefold/core/configuration/sections.py
+++ b/src/azurefold/core/configuration/sections.py
@@ -1,8 +1,9 @@
 """Sections of a configuration, each stored under the hash of its content.
 
-A change touches one service or one organisation, so it sends one small section
-instead of the whole text. Organisations are spread over a fixed number of
-chunks by hash: at 8,200 of them a chunk holds 32, about 4 KB.
+An edit usually changes one service or one organisation, so only one small section
+is sent instead of the whole configuration. Organisations are distributed over a
+fixed number of chunks by hash: with 8,200 organisations, a chunk holds 32 of them,
+about 4 KB.
 """
 
 import hashlib
@@ -21,7 +22,7 @@
 ]
 
 N_CHUNKS = 256
-"""Chunks of organisations. A different number re-sends all of them once."""
+"""Number of chunks of organisations. Changing it re-sends all of them once."""
 
 _SERVICE = "service"
 _ORGANISATIONS = "organisations"
@@ -31,7 +32,7 @@
 
 
 def canonical_bytes(value: Any) -> bytes:
-    """Return the one spelling of plain JSON values.
+    """Return the canonical JSON encoding of plain JSON values.
 
     Examples
     --------
@@ -54,19 +55,19 @@
 
 
 def split_configuration(raw: Mapping[str, Any], n_chunks: int = N_CHUNKS) -> Sections:
-    """Split plain JSON values of a configuration into sections.
+    """Split the plain JSON values of a configuration into sections.
 
     Parameters
     ----------
     raw : mapping
-        With the keys ``services`` and ``organisations``, both by name.
+        Values with the keys ``services`` and ``organisations``, each by name.
     n_chunks : int, default=256
-        Chunks over which the organisations are spread.
+        Number of chunks over which the organisations are distributed.
 
     Returns
     -------
     dict of str to bytes
-        An empty chunk has no section.
+        Content of each section by name; an empty chunk has no section.
 
     Examples
     --------
@@ -79,14 +80,14 @@
     }
     chunks: dict[int, dict[str, Any]] = {}
     for name, organisation in raw["organisations"].items():
-        chunks.setdefault(_chunk_of(name, n_chunks), {})[name] = organisation
-    for number, chunk in chunks.items():
-        sections[f"{_ORGANISATIONS}/{number}"] = canonical_bytes(chunk)
+        chunks.setdefault(_chunk_index(name, n_chunks), {})[name] = organisation
+    for index, chunk in chunks.items():
+        sections[f"{_ORGANISATIONS}/{index}"] = canonical_bytes(chunk)
     return sections
 
 
 def assemble_configuration(sections: Mapping[str, bytes]) -> dict[str, Any]:
-    """Put sections together again.
+    """Assemble the plain JSON values of a configuration from its sections.
 
     Raises
     ------
@@ -102,13 +103,13 @@
     services: dict[str, Any] = {}
     organisations: dict[str, Any] = {}
     for name, data in sections.items():
-        kind, _, rest = name.partition("/")
+        kind, _, suffix = name.partition("/")
         if kind == _SERVICE:
-            services[rest] = json.loads(data)
+            services[suffix] = json.loads(data)
         elif kind == _ORGANISATIONS:
             organisations.update(json.loads(data))
         else:
-            raise ValueError(f"no section of a configuration is named {name!r}")
+            raise ValueError(f"unknown configuration section {name!r}")
     return {"services": services, "organisations": organisations}
 
 
@@ -124,6 +125,6 @@
     return {name: data for name, data in sections.items() if name.startswith(prefix)}
 
 
-def _chunk_of(name: str, n_chunks: int) -> int:
+def _chunk_index(name: str, n_chunks: int) -> int:
     digest = hashlib.sha256(name.encode("utf-8")).digest()
     return int.from_bytes(digest[:8], "big") % n_chunks
--- a/tests/core/configuration/test_following_stateful.py
+++ b/tests/core/configuration/test_following_stateful.py
@@ -38,31 +38,31 @@
 class GoesBack(Follower):
     """Follows the platform to a lower revision as well."""
 
-    def _on_lower(self, head_id, row_version):
+    def _on_older_or_forked_head(self, head_id, row_version):
         self._head = follower_module.NO_HEAD
-        self._mark = self._head.head_id
-        return self._offered(Platform(), head_id, 0) if head_id.revision else []
+        self._head_id = self._head.head_id
+        return self._record_offer(Platform(), head_id, 0) if head_id.revision else []
 
 
 class KeepsQuiet(Follower):
     """Raises no alarm."""
 
-    def _alarm(self, kind, heard):
+    def _raise_alarm(self, kind, received):
         return []
 
 
 class AsksThePlatformOnly(Follower):
     """Takes nothing from peers."""
 
-    def _on_mark(self, event, now):
+    def _on_announcement(self, event, now):
         return []
 
 
 class LeavesTheOldCopy(Follower):
     """Does not write the held head back over an older copy."""
 
-    def _on_lower(self, head_id, row_version):
-        actions = super()._on_lower(head_id, row_version)
+    def _on_older_or_forked_head(self, head_id, row_version):
+        actions = super()._on_older_or_forked_head(head_id, row_version)
         return [each for each in actions if not isinstance(each, WriteBack)]
 
 
@@ -78,7 +78,7 @@
 class TakesItselfForARival(Acceptance):
     """Believes each conflict, also one with its own row."""
 
-    def _after_conflict(self, conflict):
+    def _resolve_conflict(self, conflict):
         return NotAccepted("a rival won", conflict.current)
 
 
