--- a/tests/core/configuration/machine.py
+++ b/tests/core/configuration/configuration_machine.py
@@ -2,7 +2,7 @@
 
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
-from tests.core.configuration.world import HALLS, NODES, World
+from tests.core.configuration.simulated_site import HALLS, NODES, World
 
 IN_FORCE_WITHIN_MS = 5_000
 FAULTS = st.sampled_from(["none", "none", "lost", "late", "unavailable"])
--- a/tests/core/configuration/test_following_stateful.py
+++ b/tests/core/configuration/test_configuration_stateful.py
@@ -2,15 +2,15 @@
 
 Symptom: a configuration that was accepted is gone again in one data centre, or
 an operator acts on an answer that was a guess.
-Sequence: drawn by Hypothesis from the failures in ``machine.py``.
+Sequence: drawn by Hypothesis from the failures in ``configuration_machine.py``.
 Cause: each mutant below takes one mechanism away and shows that it is needed.
 """
 
 import pytest
 from hypothesis import HealthCheck, Phase, settings
 from hypothesis.stateful import run_state_machine_as_test
-from tests.core.configuration.machine import ConfigurationMachine
-from tests.core.configuration.world import World
+from tests.core.configuration.configuration_machine import ConfigurationMachine
+from tests.core.configuration.simulated_site import World
 
 from azurefold.core.configuration import follower as follower_module
 from azurefold.core.configuration.acceptance import (
