--- a/tests/core/configuration/configuration_machine.py
+++ b/tests/core/configuration/configuration_machine.py
@@ -1,102 +1,111 @@
-"""The rules by which failures are drawn; used by the property and its mutants."""
+"""State machine of configuration failures, run by the property test and mutants."""
 
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
-from tests.core.configuration.simulated_site import HALLS, NODES, World
-
-IN_FORCE_WITHIN_MS = 5_000
-FAULTS = st.sampled_from(["none", "none", "lost", "late", "unavailable"])
-NAMES = st.sampled_from(sorted(NODES))
+from tests.core.configuration.simulated_site import (
+    DATA_CENTRE_BY_PROCESS,
+    DATA_CENTRES,
+    SimulatedSite,
+)
+
+CONVERGENCE_LIMIT_MS = 5_000
+WRITE_FAULTS = st.sampled_from(["none", "none", "lost", "late", "unavailable"])
+PROCESS_NAMES = st.sampled_from(sorted(DATA_CENTRE_BY_PROCESS))
 JITTER = st.floats(0, 0.999)
 
 
 class ConfigurationMachine(RuleBasedStateMachine):
     def __init__(self):
         super().__init__()
-        self.world = self.make_world()
+        self.site = self.make_site()
 
-    def make_world(self):
-        return World()
+    def make_site(self):
+        return SimulatedSite()
 
     @property
-    def _pending(self):
-        return [each for each in self.world.operators if each.outcome is None]
+    def _pending_operators(self):
+        return [
+            operator for operator in self.site.operators if operator.outcome is None
+        ]
 
     @rule()
-    def operator_begins_an_edit(self):
-        self.world.begin_edit()
+    def start_edit(self):
+        self.site.start_edit()
 
     @rule()
-    def operator_edits_undisturbed(self):
-        self.world.begin_edit()
-        self.world.submit(self.world.operators[-1], "none")
+    def start_and_submit_edit(self):
+        self.site.start_edit()
+        self.site.submit(self.site.operators[-1], "none")
 
-    @precondition(lambda self: self._pending)
-    @rule(data=st.data(), fault=FAULTS)
-    def operator_hands_in(self, data, fault):
-        operator = data.draw(st.sampled_from(self._pending))
-        self.world.submit(operator, fault)
+    @precondition(lambda self: self._pending_operators)
+    @rule(data=st.data(), fault=WRITE_FAULTS)
+    def submit_pending_edit(self, data, fault):
+        operator = data.draw(st.sampled_from(self._pending_operators))
+        self.site.submit(operator, fault)
 
-    @precondition(lambda self: self.world.late_writes)
+    @precondition(lambda self: self.site.late_writes)
     @rule()
-    def late_write_lands(self):
-        self.world.land_late_write()
+    def apply_late_write(self):
+        self.site.apply_late_write()
 
-    @rule(name=NAMES, jitter=JITTER, passed=st.sampled_from([0, 100, 600, 3_000]))
-    def time_passes_for_one(self, name, jitter, passed):
-        self.world.now += passed
-        self.world.tick(name, jitter)
+    @rule(
+        name=PROCESS_NAMES, jitter=JITTER, passed=st.sampled_from([0, 100, 600, 3_000])
+    )
+    def tick_one_process(self, name, jitter, passed):
+        self.site.now += passed
+        self.site.tick(name, jitter)
 
     @rule(jitter=JITTER)
-    def time_passes_for_all(self, jitter):
-        self.world.now += 1_000
-        for name in NODES:
-            self.world.tick(name, jitter)
+    def tick_all_processes(self, jitter):
+        self.site.now += 1_000
+        for name in DATA_CENTRE_BY_PROCESS:
+            self.site.tick(name, jitter)
 
-    @rule(sender=NAMES, hearer=NAMES)
-    def one_hears_another(self, sender, hearer):
-        self.world.gossip(sender, hearer)
+    @rule(sender=PROCESS_NAMES, receiver=PROCESS_NAMES)
+    def deliver_announcement(self, sender, receiver):
+        self.site.deliver_announcement(sender, receiver)
 
-    @rule(name=NAMES)
-    def process_is_replaced(self, name):
-        self.world.restart(name)
+    @rule(name=PROCESS_NAMES)
+    def restart_process(self, name):
+        self.site.restart(name)
 
-    @rule(hall=st.sampled_from(HALLS), sees=st.booleans())
-    def platform_is_cut_or_back(self, hall, sees):
-        self.world.sees_platform[hall] = sees
+    @rule(data_centre=st.sampled_from(DATA_CENTRES), is_reachable=st.booleans())
+    def set_platform_reachable(self, data_centre, is_reachable):
+        self.site.is_platform_reachable[data_centre] = is_reachable
 
-    @rule(linked=st.booleans())
-    def data_centres_are_cut_or_linked(self, linked):
-        self.world.linked = linked
+    @rule(is_linked=st.booleans())
+    def set_data_centres_linked(self, is_linked):
+        self.site.is_linked = is_linked
 
     @rule()
-    def next_contents_are_damaged(self):
-        self.world.corrupt_next = True
+    def corrupt_next_contents(self):
+        self.site.should_corrupt_next = True
 
     @rule()
-    def store_is_copied(self):
-        self.world.saved = self.world.table.copy()
+    def back_up_store(self):
+        self.site.backup = self.site.table.copy()
 
     # A restore between a lost answer and the read-back destroys the only proof
-    # of what happened; docs/design-configuration.md says so to operators.
+    # of the outcome; docs/design-configuration.md says so to operators.
     @precondition(
         lambda self: (
             not any(
-                each.in_doubt and each.outcome is None for each in self.world.operators
+                operator.has_lost_answer and operator.outcome is None
+                for operator in self.site.operators
             )
         )
     )
     @rule()
-    def store_is_restored(self):
-        self.world.table = self.world.saved.copy()
-        self.world.late_writes.clear()
+    def restore_store(self):
+        self.site.table = self.site.backup.copy()
+        self.site.late_writes.clear()
 
     @invariant()
-    def nothing_untrue_and_nothing_backward(self):
-        self.world.check_applied()
-        self.world.check_outcomes()
+    def applied_heads_and_outcomes_are_correct(self):
+        self.site.check_applied()
+        self.site.check_outcomes()
 
     def teardown(self):
-        self.world.check_forks_are_alarmed()
-        self.world.check_in_force_within(IN_FORCE_WITHIN_MS)
-        self.world.check_applied()
+        self.site.check_forks_raise_alarms()
+        self.site.check_convergence(CONVERGENCE_LIMIT_MS)
+        self.site.check_applied()
--- a/tests/core/configuration/test_configuration_stateful.py
+++ b/tests/core/configuration/test_configuration_stateful.py
@@ -1,16 +1,16 @@
-"""Racing operators, lost answers, cuts, restored copies: what holds through all.
+"""Followers and acceptance under concurrent operators, lost answers and partitions.
 
-Symptom: a configuration that was accepted is gone again in one data centre, or
-an operator acts on an answer that was a guess.
-Sequence: drawn by Hypothesis from the failures in ``configuration_machine.py``.
-Cause: each mutant below takes one mechanism away and shows that it is needed.
+Guards against an accepted configuration that is reverted in one data centre, and
+against an operator who is told a wrong outcome. Hypothesis draws sequences of the
+failures in ``configuration_machine.py``. Each mutant below removes one mechanism
+and must be caught, which shows that the mechanism is needed.
 """
 
 import pytest
 from hypothesis import HealthCheck, Phase, settings
 from hypothesis.stateful import run_state_machine_as_test
 from tests.core.configuration.configuration_machine import ConfigurationMachine
-from tests.core.configuration.simulated_site import World
+from tests.core.configuration.simulated_site import SimulatedSite
 
 from azurefold.core.configuration import follower as follower_module
 from azurefold.core.configuration.acceptance import (
@@ -23,7 +23,7 @@
 
 TestConfiguration = ConfigurationMachine.TestCase
 
-HUNT = settings(
+MUTANT_SETTINGS = settings(
     derandomize=True,
     database=None,
     deadline=None,
@@ -35,7 +35,7 @@
 )
 
 
-class GoesBack(Follower):
+class AppliesOlderHeads(Follower):
     """Follows the platform to a lower revision as well."""
 
     def _on_older_or_forked_head(self, head_id, row_version):
@@ -44,82 +44,86 @@
         return self._record_offer(Platform(), head_id, 0) if head_id.revision else []
 
 
-class KeepsQuiet(Follower):
+class RaisesNoAlarms(Follower):
     """Raises no alarm."""
 
     def _raise_alarm(self, kind, received):
         return []
 
 
-class AsksThePlatformOnly(Follower):
-    """Takes nothing from peers."""
+class IgnoresPeers(Follower):
+    """Ignores the announcements of peers."""
 
     def _on_announcement(self, event, now):
         return []
 
 
-class LeavesTheOldCopy(Follower):
+class KeepsRestoredCopy(Follower):
     """Does not write the held head back over an older copy."""
 
     def _on_older_or_forked_head(self, head_id, row_version):
         actions = super()._on_older_or_forked_head(head_id, row_version)
-        return [each for each in actions if not isinstance(each, WriteBack)]
+        return [action for action in actions if not isinstance(action, WriteBack)]
 
 
-class GuessesAfterALoss(Acceptance):
-    """Tells an operator that an edit was not accepted when the answer is lost."""
+class ReportsLostAnswerAsFailure(Acceptance):
+    """Reports that an edit was not accepted when the answer is lost."""
 
-    def handle(self, event, now):
-        if isinstance(event, OutcomeUnknown):
+    def handle(self, result, now):
+        if isinstance(result, OutcomeUnknown):
             return NotAccepted("no answer")
-        return super().handle(event, now)
+        return super().handle(result, now)
 
 
-class TakesItselfForARival(Acceptance):
-    """Believes each conflict, also one with its own row."""
+class IgnoresOwnRow(Acceptance):
+    """Reports every conflict as a failure, also one with the edit's own row."""
 
     def _resolve_conflict(self, conflict):
-        return NotAccepted("a rival won", conflict.current)
+        return NotAccepted("another edit was accepted", conflict.current)
 
 
-def _machine(**parts):
+def _make_machine(**site_options):
     class Machine(ConfigurationMachine):
-        def make_world(self):
-            return World(**parts)
+        def make_site(self):
+            return SimulatedSite(**site_options)
 
     return Machine
 
 
 @pytest.mark.parametrize(
-    ("mutant", "told"),
+    ("mutant", "message"),
     [
-        (GoesBack, "went back"),
-        (KeepsQuiet, "a fork without an alarm"),
-        (AsksThePlatformOnly, "did not follow"),
-        (LeavesTheOldCopy, "the old copy stayed in place"),
+        (AppliesOlderHeads, "applied an older head"),
+        (RaisesNoAlarms, "no alarm for a fork"),
+        (IgnoresPeers, "did not reach"),
+        (KeepsRestoredCopy, "the platform kept the old copy"),
     ],
 )
-def test_follower_without_one_mechanism_is_caught(mutant, told):
-    def make(name, data_centre):
+def test_follower_mutant_is_caught(mutant, message):
+    def create_mutant(name, data_centre):
         return mutant(name, data_centre, FollowerPolicy())
 
-    with pytest.raises(AssertionError, match=told):
-        run_state_machine_as_test(_machine(make_follower=make), settings=HUNT)
+    with pytest.raises(AssertionError, match=message):
+        run_state_machine_as_test(
+            _make_machine(make_follower=create_mutant), settings=MUTANT_SETTINGS
+        )
 
 
-@pytest.mark.parametrize("mutant", [GuessesAfterALoss, TakesItselfForARival])
-def test_acceptance_without_one_mechanism_is_caught(mutant):
-    with pytest.raises(AssertionError, match="told not, but was"):
-        run_state_machine_as_test(_machine(make_acceptance=mutant), settings=HUNT)
+@pytest.mark.parametrize("mutant", [ReportsLostAnswerAsFailure, IgnoresOwnRow])
+def test_acceptance_mutant_is_caught(mutant):
+    with pytest.raises(AssertionError, match="reported not accepted, but was"):
+        run_state_machine_as_test(
+            _make_machine(make_acceptance=mutant), settings=MUTANT_SETTINGS
+        )
 
 
-def test_follower_that_trusts_contents_is_caught(monkeypatch):
-    class Anything:
-        """Equals any hash, so that damaged contents pass."""
+def test_follower_that_skips_hash_check_is_caught(monkeypatch):
+    class EqualToAnyHash:
+        """Equals any hash, so that corrupted contents pass the check."""
 
         def __eq__(self, other):
             return True
 
-    monkeypatch.setattr(follower_module, "content_hash", lambda data: Anything())
-    with pytest.raises(AssertionError, match="applied other content"):
-        run_state_machine_as_test(ConfigurationMachine, settings=HUNT)
+    monkeypatch.setattr(follower_module, "content_hash", lambda data: EqualToAnyHash())
+    with pytest.raises(AssertionError, match="applied wrong content"):
+        run_state_machine_as_test(ConfigurationMachine, settings=MUTANT_SETTINGS)
--- a/tests/core/configuration/test_follower.py
+++ b/tests/core/configuration/test_follower.py
@@ -1,4 +1,4 @@
-"""When a follower looks, whom it asks, and what it takes for fresh."""
+"""When a follower polls, which source it asks, and what counts as a confirmation."""
 
 import pytest
 
@@ -24,120 +24,131 @@
 from azurefold.core.configuration.schedule import FollowerPolicy, PollSchedule
 from azurefold.core.configuration.sections import content_hash
 
-HALL = "fukuoka-hall"
-LIVE = frozenset(f"c{number}" for number in range(6))
-POLLERS = choose_pollers(LIVE, HALL)
-OTHERS = sorted(LIVE - set(POLLERS))
+DATA_CENTRE = "fukuoka-hall"
+LIVE_CONTROLS = frozenset(f"c{number}" for number in range(6))
+POLLERS = choose_pollers(LIVE_CONTROLS, DATA_CENTRE)
+NON_POLLERS = sorted(LIVE_CONTROLS - set(POLLERS))
 CONTENT = b"{}"
-FIRST = build_next_head(NO_HEAD, "e1", {"service/a": content_hash(CONTENT)})
-TICK = Tick(LIVE, 0.0)
+FIRST_HEAD = build_next_head(NO_HEAD, "e1", {"service/a": content_hash(CONTENT)})
+TICK = Tick(LIVE_CONTROLS, 0.0)
 
 
-def polls(name, until, news=lambda each, now: None):
-    each = create_follower(name, HALL)
-    looked = []
+def find_poll_times(name, until, deliver=lambda follower, now: None):
+    follower = create_follower(name, DATA_CENTRE)
+    poll_times = []
     for now in range(0, until, 100):
-        if PollNow() in each.handle(TICK, now):
-            looked.append(now)
-            each.handle(PollFailed(), now)
-        news(each, now)
-    return looked
+        if PollNow() in follower.handle(TICK, now):
+            poll_times.append(now)
+            follower.handle(PollFailed(), now)
+        deliver(follower, now)
+    return poll_times
 
 
-def test_chosen_pollers_look_each_second():
-    assert polls(POLLERS[0], 5_000) == [0, 1_000, 2_000, 3_000, 4_000]
+def test_chosen_pollers_poll_every_second():
+    assert find_poll_times(POLLERS[0], 5_000) == [0, 1_000, 2_000, 3_000, 4_000]
 
 
-def test_others_look_only_without_news_for_two_seconds():
-    def hear(each, now):
+def test_others_poll_only_after_two_seconds_without_confirmation():
+    def announce(follower, now):
         if now < 4_000:
-            each.handle(AnnouncementReceived(NO_HEAD.head_id, Peer("c9"), 100), now)
+            follower.handle(AnnouncementReceived(NO_HEAD.head_id, Peer("c9"), 100), now)
 
-    assert polls(OTHERS[0], 9_000)[:3] == [0, 2_000, 4_000]
-    assert polls(OTHERS[0], 7_000, hear) == [0, 5_800]
+    assert find_poll_times(NON_POLLERS[0], 9_000)[:3] == [0, 2_000, 4_000]
+    assert find_poll_times(NON_POLLERS[0], 7_000, announce) == [0, 5_800]
 
 
-def test_news_of_old_age_is_not_fresh():
-    def hear(each, now):
-        each.handle(AnnouncementReceived(NO_HEAD.head_id, Peer("c9"), now + 1), now)
+def test_old_announcement_is_not_a_recent_confirmation():
+    def announce(follower, now):
+        follower.handle(AnnouncementReceived(NO_HEAD.head_id, Peer("c9"), now + 1), now)
 
-    assert len(polls(OTHERS[0], 9_000, hear)) > 3
+    assert len(find_poll_times(NON_POLLERS[0], 9_000, announce)) > 3
 
 
-def test_one_that_is_behind_does_not_call_itself_fresh():
-    """Symptom: an accepted edit is in force nowhere, and nobody looks any more.
+def test_process_that_is_behind_does_not_confirm_its_head():
+    """Guards against an accepted edit that takes effect nowhere while nobody polls.
 
-    Sequence: a poller sees the new head, cannot fetch its contents, and goes on
-    announcing the old head as fresh; the others hear that and stop looking.
-    Cause: freshness says "nothing newer than this", which is not so.
+    A poller sees the new head, cannot fetch its contents and keeps announcing the
+    old head as confirmed, so the others stop polling. A confirmation means that
+    nothing newer exists, which does not hold here.
     """
-    each = create_follower(POLLERS[0], HALL)
-    each.handle(PlatformPolled(NO_HEAD.head_id, None), 0)
-    actions = each.handle(PlatformPolled(FIRST.head_id, 1), 5_000)
+    follower = create_follower(POLLERS[0], DATA_CENTRE)
+    follower.handle(PlatformPolled(NO_HEAD.head_id, None), 0)
+    actions = follower.handle(PlatformPolled(FIRST_HEAD.head_id, 1), 5_000)
     assert Announce(NO_HEAD.head_id, 5_000) in actions
-    each.handle(AnnouncementReceived(FIRST.head_id, Peer("c9"), 0), 6_000)
-    assert each.age_ms(6_000) == 6_000
+    follower.handle(AnnouncementReceived(FIRST_HEAD.head_id, Peer("c9"), 0), 6_000)
+    assert follower.age_ms(6_000) == 6_000
 
 
-def test_fresh_process_in_an_outage_takes_what_a_peer_holds():
-    each = create_follower(OTHERS[0], HALL)
-    each.handle(PollFailed(), 0)
+def test_new_process_fetches_from_peer_during_outage():
+    follower = create_follower(NON_POLLERS[0], DATA_CENTRE)
+    follower.handle(PollFailed(), 0)
     peer = Peer("c9")
-    (ask,) = each.handle(AnnouncementReceived(FIRST.head_id, peer, None), 10)
-    assert isinstance(ask, FetchHead)
-    assert ask.source == peer
-    (ask,) = each.handle(HeadFetched(FIRST, peer), 20)
-    assert ask == FetchSections(peer, (content_hash(CONTENT),))
-    actions = each.handle(SectionsFetched({content_hash(CONTENT): CONTENT}, peer), 30)
-    assert actions[0] == Apply(FIRST, {"service/a": CONTENT})
-    assert each.get_contents([content_hash(CONTENT), "?"]) == {
+    (fetch,) = follower.handle(AnnouncementReceived(FIRST_HEAD.head_id, peer, None), 10)
+    assert isinstance(fetch, FetchHead)
+    assert fetch.source == peer
+    (fetch,) = follower.handle(HeadFetched(FIRST_HEAD, peer), 20)
+    assert fetch == FetchSections(peer, (content_hash(CONTENT),))
+    actions = follower.handle(
+        SectionsFetched({content_hash(CONTENT): CONTENT}, peer), 30
+    )
+    assert actions[0] == Apply(FIRST_HEAD, {"service/a": CONTENT})
+    assert follower.get_contents([content_hash(CONTENT), "?"]) == {
         content_hash(CONTENT): CONTENT
     }
 
 
-@pytest.mark.parametrize("silent", [True, False])
-def test_another_source_is_asked_when_one_fails_or_is_silent(silent):
-    each = create_follower(OTHERS[0], HALL)
-    each.handle(AnnouncementReceived(FIRST.head_id, Peer("c8"), None), 0)
-    each.handle(PlatformPolled(FIRST.head_id, 1), 0)
-    if silent:
-        actions = each.handle(TICK, FollowerPolicy().fetch_timeout_ms)
+@pytest.mark.parametrize("is_silent", [True, False])
+def test_another_source_is_asked_after_failure_or_timeout(is_silent):
+    follower = create_follower(NON_POLLERS[0], DATA_CENTRE)
+    follower.handle(AnnouncementReceived(FIRST_HEAD.head_id, Peer("c8"), None), 0)
+    follower.handle(PlatformPolled(FIRST_HEAD.head_id, 1), 0)
+    if is_silent:
+        actions = follower.handle(TICK, FollowerPolicy().fetch_timeout_ms)
     else:
-        actions = each.handle(FetchFailed(Peer("c8")), 1)
-    assert any(isinstance(a, FetchHead) and a.source == Platform() for a in actions)
+        actions = follower.handle(FetchFailed(Peer("c8")), 1)
+    assert any(
+        isinstance(action, FetchHead) and action.source == Platform()
+        for action in actions
+    )
 
 
-def test_contents_that_come_after_the_timeout_are_kept():
-    """Symptom: with a slow platform a process never follows.
+def test_contents_that_arrive_after_timeout_are_kept():
+    """Guards against a process that never catches up with a slow platform.
 
-    Sequence: contents take longer than the timeout, another source is asked,
-    the contents come and are thrown away, and so on for ever.
-    Cause: contents are named by their hash, so they are good whenever they come.
+    Contents take longer than the timeout, another source is asked, and the late
+    contents are discarded, again and again. They are identified by their hash, so
+    they are valid whenever they arrive.
     """
-    each = create_follower(OTHERS[0], HALL)
+    follower = create_follower(NON_POLLERS[0], DATA_CENTRE)
     hashed = content_hash(CONTENT)
-    each.handle(PlatformPolled(FIRST.head_id, 1), 0)
-    each.handle(HeadFetched(FIRST, Platform()), 10)
-    each.handle(AnnouncementReceived(FIRST.head_id, Peer("c8"), None), 20)
-    (ask,) = [a for a in each.handle(TICK, 600) if isinstance(a, FetchSections)]
-    assert ask.source == Peer("c8")
-    each.handle(FetchFailed(Peer("c8")), 700)
-    each.handle(AnnouncementReceived(FIRST.head_id, Peer("c7"), None), 800)
-    each.handle(SectionsFetched({hashed: CONTENT}, Platform()), 900)
-    actions = each.handle(HeadFetched(FIRST, Peer("c7")), 1_000)
+    follower.handle(PlatformPolled(FIRST_HEAD.head_id, 1), 0)
+    follower.handle(HeadFetched(FIRST_HEAD, Platform()), 10)
+    follower.handle(AnnouncementReceived(FIRST_HEAD.head_id, Peer("c8"), None), 20)
+    (fetch,) = [
+        action
+        for action in follower.handle(TICK, 600)
+        if isinstance(action, FetchSections)
+    ]
+    assert fetch.source == Peer("c8")
+    follower.handle(FetchFailed(Peer("c8")), 700)
+    follower.handle(AnnouncementReceived(FIRST_HEAD.head_id, Peer("c7"), None), 800)
+    follower.handle(SectionsFetched({hashed: CONTENT}, Platform()), 900)
+    actions = follower.handle(HeadFetched(FIRST_HEAD, Peer("c7")), 1_000)
     assert isinstance(actions[0], Apply)
 
 
-def test_self_polls_are_spread():
-    """Symptom: at an outage's end the platform is hit by all at one moment.
+def test_polls_after_stale_confirmation_are_spread():
+    """Guards against all processes polling the platform at once after an outage.
 
-    Sequence: news stops for all at once, all wait the same time, all look.
-    Cause: each draws its own wait from two to four seconds.
+    Announcements stop for all at the same time. If all waited equally long, they
+    would poll together, so each draws its own delay from two to four seconds.
     """
-    due = []
+    due_times = []
     for jitter in (0.0, 0.25, 0.5, 0.75):
-        schedule = PollSchedule(OTHERS[0], HALL, FollowerPolicy())
+        schedule = PollSchedule(NON_POLLERS[0], DATA_CENTRE, FollowerPolicy())
         schedule.record_confirmation(0)
-        tick = Tick(LIVE, jitter)
-        due.append(next(at for at in range(0, 9_000, 100) if schedule.is_due(tick, at)))
-    assert due == [2_000, 2_500, 3_000, 3_500]
+        tick = Tick(LIVE_CONTROLS, jitter)
+        due_times.append(
+            next(now for now in range(0, 9_000, 100) if schedule.is_due(tick, now))
+        )
+    assert due_times == [2_000, 2_500, 3_000, 3_500]
--- a/tests/core/configuration/test_sections_and_heads.py
+++ b/tests/core/configuration/test_sections_and_heads.py
@@ -1,4 +1,4 @@
-"""Sections are small and stable; heads tell one line of edits from another."""
+"""Sections are small and stable; heads distinguish branches of edits."""
 
 import string
 
@@ -38,11 +38,11 @@
 
 
 @given(RAW)
-def test_splitting_loses_nothing(raw):
+def test_assembling_reverses_splitting(raw):
     assert assemble_configuration(split_configuration(raw)) == raw
 
 
-def test_one_changed_organisation_changes_one_small_section():
+def test_changing_one_organisation_changes_one_small_section():
     raw = {"services": {}, "organisations": {}}
     raw["organisations"] = {f"organisation-{i}": {"share": 1} for i in range(8_200)}
     before = split_configuration(raw)
@@ -54,20 +54,20 @@
 
 
 @given(SECTIONS, SECTIONS)
-def test_a_delta_gives_the_head_it_was_made_from(old, new):
+def test_applying_delta_gives_the_new_head(old, new):
     base = build_next_head(NO_HEAD, "e1", old)
     head = build_next_head(base, "e2", new)
     assert apply_delta(base, compute_delta(base, head)) == head
 
 
 @given(SECTIONS)
-def test_heads_and_marks_survive_their_spelling(sections):
+def test_decoding_reverses_encoding(sections):
     head = build_next_head(Head(3, "e3", {}, ("e2",)), "e4", sections)
     assert decode_head(encode_json(head)) == head
     assert decode_head_id(encode_json(head.head_id)) == head.head_id
 
 
-def test_relations_along_a_line_and_across():
+def test_relations_on_same_branch_and_across_branches():
     head = NO_HEAD
     for number in range(1, MAX_CHAIN_LENGTH + 5):
         head = build_next_head(head, f"e{number}", {"service/a": content_hash(b"a")})
@@ -88,9 +88,9 @@
 
 
 @given(st.sets(NAMES, min_size=3), st.data())
-def test_a_death_moves_only_the_dead_pollers_place(live, data):
-    dead = data.draw(st.sampled_from(sorted(live)))
-    before = set(choose_pollers(live, "fukuoka-hall"))
-    after = set(choose_pollers(live - {dead}, "fukuoka-hall"))
-    assert before - {dead} <= after
+def test_failed_poller_is_replaced_without_moving_others(live_controls, data):
+    failed = data.draw(st.sampled_from(sorted(live_controls)))
+    before = set(choose_pollers(live_controls, "fukuoka-hall"))
+    after = set(choose_pollers(live_controls - {failed}, "fukuoka-hall"))
+    assert before - {failed} <= after
     assert len(after) == 2
