--- a/src/azurefold/core/membership/departures.py
+++ b/src/azurefold/core/membership/departures.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass, field
 
-from azurefold.core.membership.entries import EndpointEntry
+from azurefold.core.membership.endpoint_entry import EndpointEntry
 
 __all__ = ["Departures"]
 
@@ -47,7 +47,7 @@
         """Forget the departure of an endpoint that is there again."""
         self._by_name.pop(name, None)
 
-    def store_returned(self) -> None:
+    def on_store_restored(self) -> None:
         """Note that the store came back from an older copy."""
         self._returns += 1
         self.is_settling = True
@@ -72,7 +72,7 @@
         >>> departures.note(entry)
         >>> departures.is_credible(entry, is_written=False)
         True
-        >>> departures.store_returned()
+        >>> departures.on_store_restored()
         >>> [departures.is_credible(entry, is_written=each) for each in (False, True)]
         [False, True]
         >>> departures.settled()
@@ -83,9 +83,9 @@
         if departure is None or departure.returns == self._returns:
             return True
         left = departure.entry
-        says_when_started = entry.born and left.born
-        if says_when_started and entry.born != left.born:
-            return entry.born > left.born
+        says_when_started = entry.started_at_ms and left.started_at_ms
+        if says_when_started and entry.started_at_ms != left.started_at_ms:
+            return entry.started_at_ms > left.started_at_ms
         if not left.leaving:
             return is_written or not self.is_settling
         # An announced departure holds until the endpoint starts again. If entries do
--- a/src/azurefold/core/membership/directory.py
+++ b/src/azurefold/core/membership/directory.py
@@ -11,6 +11,7 @@
 from azurefold.core.clock import Millis
 from azurefold.core.membership.controls import Controls
 from azurefold.core.membership.endpoints import Endpoint, State, join
+from azurefold.core.membership.failure_detector import Watches
 from azurefold.core.membership.gossip import Gossip
 from azurefold.core.membership.messages import (
     NO_LIST,
@@ -28,11 +29,10 @@
     Timing,
     Want,
 )
-from azurefold.core.membership.responsibility import Responsibility
+from azurefold.core.membership.ownership import Responsibility
 from azurefold.core.membership.snapshot import Shown, show
 from azurefold.core.membership.tombstones import Tombstones
 from azurefold.core.membership.vm_list import ListedVm, VmList, record_from_vm
-from azurefold.core.membership.watches import Watches
 
 __all__ = ["Directory"]
 
--- a/src/azurefold/core/membership/entries.py
+++ b/src/azurefold/core/membership/endpoint_entry.py
@@ -19,7 +19,7 @@
         Requests that it runs at a time.
     leaving : bool
         Whether it takes no new work.
-    born : int
+    started_at_ms : int
         When it started, in Unix milliseconds; 0 if it does not say. Tells its starts
         apart where it keeps its name.
     """
@@ -30,4 +30,4 @@
     data_centre: str
     slots: int
     leaving: bool = False
-    born: int = 0
+    started_at_ms: int = 0
--- a/src/azurefold/core/membership/freshness.py
+++ b/src/azurefold/core/membership/freshness.py
@@ -10,7 +10,7 @@
 
 from azurefold.core.clock import Millis
 
-__all__ = ["TableFreshness", "TableStatement"]
+__all__ = ["TableFreshness", "TableWatermark"]
 
 _AHEAD_MS: Millis = 1_000
 """By which a date may be later than the store's time as a process knows it, a lower
@@ -21,28 +21,29 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TableStatement:
+class TableWatermark:
     """Nothing in a table was newer than a version at some moment.
 
     Parameters
     ----------
     era : int
         Of the store; 0 if it tells none.
-    newest : int
+    newest_version : int
         Version of the table's newest change, or a later one.
-    as_of : int
+    confirmed_at : int
         The moment, in milliseconds of the store's time.
     is_exact : bool
-        Whether ``newest`` is the version of a change. Where a whole table was read it
-        is that of the read, as no row shows that another one was removed before.
+        Whether ``newest_version`` is the version of a change. Where a whole table was
+        read it is that of the read, as no row shows that another one was removed
+        before.
     answered_since : int or None
         Store's time since which all of the process's own calls were answered; None if
         the last one was not.
     """
 
     era: int
-    newest: int
-    as_of: Millis
+    newest_version: int
+    confirmed_at: Millis
     is_exact: bool = True
     answered_since: Millis | None = None
 
@@ -55,41 +56,45 @@
     ----------
     era : int
         Of the store; 0 if it tells none.
-    position : int
+    applied_version : int
         Version up to which all changes are in force here.
-    newest : int
+    newest_version : int
         Version of the newest change, or a later one.
-    as_of : int or None
+    confirmed_at : int or None
         Store's time as of which there was nothing else; None if that isn't known.
-    proved_as_of : int or None
+    own_confirmed_at : int or None
         The same by this process's own calls alone.
     """
 
     era: int = 0
-    position: int = 0
-    newest: int = 0
-    as_of: Millis | None = None
-    proved_as_of: Millis | None = None
+    applied_version: int = 0
+    newest_version: int = 0
+    confirmed_at: Millis | None = None
+    own_confirmed_at: Millis | None = None
     _answered_since: Millis | None = None
     _interrupted_as_of: Millis | None = None
     _is_exact: bool = False
     _newest_reported: tuple[int, int] = (0, 0)
 
     @property
-    def statement(self) -> TableStatement | None:
+    def watermark(self) -> TableWatermark | None:
         """What may be told to other processes; None if nothing is known for sure."""
-        if self.as_of is None:
+        if self.confirmed_at is None:
             return None
-        return TableStatement(
-            self.era, self.newest, self.as_of, self._is_exact, self._answered_since
+        return TableWatermark(
+            self.era,
+            self.newest_version,
+            self.confirmed_at,
+            self._is_exact,
+            self._answered_since,
         )
 
     @property
     def is_behind(self) -> bool:
         """Whether another process has something newer."""
-        return self._newest_reported > (self.era, self.position)
+        return self._newest_reported > (self.era, self.applied_version)
 
-    def read_whole(self, era: int, version: int, store_ms: Millis | None) -> None:
+    def record_full_read(self, era: int, version: int, store_ms: Millis | None) -> None:
         """Note that all rows at a version of the store are in force here.
 
         Parameters
@@ -99,14 +104,14 @@
             Store's time of the read; None if it was not told.
         """
         if era != self.era:
-            self.as_of = self.proved_as_of = self._answered_since = None
+            self.confirmed_at = self.own_confirmed_at = self._answered_since = None
             self._interrupted_as_of = None
-        self.era, self.position, self.newest = era, version, version
+        self.era, self.applied_version, self.newest_version = era, version, version
         self._is_exact = False
         self._prove(store_ms)
 
-    def read_changes(
-        self, version: int, newest: int | None, store_ms: Millis | None
+    def record_changes(
+        self, version: int, newest_version: int | None, store_ms: Millis | None
     ) -> None:
         """Note that the changes up to a version are in force here.
 
@@ -118,70 +123,75 @@
         store_ms : int or None
             Store's time at which there were no others; None if there may have been.
         """
-        self.position = version
-        if newest is not None:
-            self.newest, self._is_exact = newest, True
+        self.applied_version = version
+        if newest_version is not None:
+            self.newest_version, self._is_exact = newest_version, True
         self._prove(store_ms)
 
-    def merge(self, statement: TableStatement, store_now: Millis | None = None) -> None:
+    def merge(self, watermark: TableWatermark, store_now: Millis | None = None) -> None:
         """Take in another process's statement.
 
         Parameters
         ----------
-        statement : TableStatement
+        statement : TableWatermark
         store_now : int or None, default=None
             The store's time; None if it isn't known.
         """
-        if statement.is_exact:
+        if watermark.is_exact:
             self._newest_reported = max(
-                self._newest_reported, (statement.era, statement.newest)
+                self._newest_reported, (watermark.era, watermark.newest_version)
             )
-        if statement.era != self.era or statement.newest > self.position:
+        if watermark.era != self.era or watermark.newest_version > self.applied_version:
             return
-        if store_now is not None and statement.as_of > store_now + _AHEAD_MS:
+        if store_now is not None and watermark.confirmed_at > store_now + _AHEAD_MS:
             return
-        if self.as_of is None or statement.as_of > self.as_of:
-            self.as_of = statement.as_of
-        is_later = statement.as_of > (self.proved_as_of or 0)
-        if is_later and statement.newest < self.newest and not self._is_exact:
-            self.newest, self._is_exact = statement.newest, statement.is_exact
+        if self.confirmed_at is None or watermark.confirmed_at > self.confirmed_at:
+            self.confirmed_at = watermark.confirmed_at
+        is_later = watermark.confirmed_at > (self.own_confirmed_at or 0)
+        if (
+            is_later
+            and watermark.newest_version < self.newest_version
+            and not self._is_exact
+        ):
+            self.newest_version, self._is_exact = (
+                watermark.newest_version,
+                watermark.is_exact,
+            )
 
-    def interrupted(self) -> None:
+    def record_failed_call(self) -> None:
         """Note that a call was not answered."""
         if self._answered_since is not None:
-            self._interrupted_as_of = self.proved_as_of
+            self._interrupted_as_of = self.own_confirmed_at
             self._answered_since = None
 
-    def is_interrupted_alone(
-        self, statement: TableStatement, store_now: Millis
-    ) -> bool:
+    def is_outage_local(self, watermark: TableWatermark, store_now: Millis) -> bool:
         """Whether another process was answered all through the last interruption."""
-        if self._interrupted_as_of is None or statement.answered_since is None:
+        if self._interrupted_as_of is None or watermark.answered_since is None:
             return False
-        is_recent = -_AHEAD_MS <= store_now - statement.as_of <= _RECENT_MS
-        return is_recent and statement.answered_since <= self._interrupted_as_of
+        is_recent = -_AHEAD_MS <= store_now - watermark.confirmed_at <= _RECENT_MS
+        return is_recent and watermark.answered_since <= self._interrupted_as_of
 
     def age(self, store_now: Millis | None) -> Millis | None:
         """Return for how long changes may have gone unnoticed; None if not known."""
-        if store_now is None or self.as_of is None:
+        if store_now is None or self.confirmed_at is None:
             return None
-        if self.as_of > store_now + _AHEAD_MS:
+        if self.confirmed_at > store_now + _AHEAD_MS:
             return None
-        return max(0, store_now - self.as_of)
+        return max(0, store_now - self.confirmed_at)
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Forget everything: the table is to be read from another store."""
-        self.era = self.position = self.newest = 0
-        self.as_of = self.proved_as_of = self._answered_since = None
+        self.era = self.applied_version = self.newest_version = 0
+        self.confirmed_at = self.own_confirmed_at = self._answered_since = None
         self._interrupted_as_of = None
         self._is_exact, self._newest_reported = False, (0, 0)
 
     def _prove(self, store_ms: Millis | None) -> None:
         if store_ms is None:
             return
-        if store_ms < (self.proved_as_of or 0) - _AHEAD_MS:
-            self.as_of = self._answered_since = None
+        if store_ms < (self.own_confirmed_at or 0) - _AHEAD_MS:
+            self.confirmed_at = self._answered_since = None
         if self._answered_since is None:
             self._answered_since = store_ms
-        self.proved_as_of = store_ms
-        self.as_of = max(store_ms, self.as_of or store_ms)
+        self.own_confirmed_at = store_ms
+        self.confirmed_at = max(store_ms, self.confirmed_at or store_ms)
--- a/src/azurefold/core/membership/gossip.py
+++ b/src/azurefold/core/membership/gossip.py
@@ -12,6 +12,14 @@
 from azurefold.core.membership.buckets import Buckets
 from azurefold.core.membership.controls import Controls
 from azurefold.core.membership.endpoints import Endpoint, Role, State, name_hash
+from azurefold.core.membership.gossip_queue import (
+    MAX_PAYLOAD,
+    OVERHEAD,
+    Pacer,
+    Rumours,
+    page,
+    wire_size,
+)
 from azurefold.core.membership.messages import (
     Change,
     Changes,
@@ -22,14 +30,6 @@
     Timing,
     Want,
 )
-from azurefold.core.membership.rumours import (
-    MAX_PAYLOAD,
-    OVERHEAD,
-    Pacer,
-    Rumours,
-    page,
-    wire_size,
-)
 
 __all__ = ["Gossip"]
 
--- a/src/azurefold/core/membership/isolation.py
+++ b/src/azurefold/core/membership/isolation.py
@@ -4,7 +4,7 @@
 
 from azurefold.core.clock import Millis
 
-__all__ = ["Isolation"]
+__all__ = ["IsolationDetector"]
 
 _SILENT_AFTER_MS: Millis = 700
 """Peers tell at least twice a second, under load more often. One lost message is no
@@ -18,16 +18,16 @@
 
 
 @dataclass(slots=True)
-class Isolation:
+class IsolationDetector:
     """When each peer was last heard."""
 
     _heard: dict[str, Millis] = field(default_factory=dict)
 
-    def heard(self, peer: str, now: Millis) -> None:
+    def record_message(self, peer: str, now: Millis) -> None:
         """Take in a message of a peer."""
         self._heard[peer] = now
 
-    def seems_cut_off(self, now: Millis) -> bool:
+    def is_isolated(self, now: Millis) -> bool:
         """Whether half of the peers, or more, have fallen silent."""
         for peer, at in list(self._heard.items()):
             if now - at >= _FORGOTTEN_AFTER_MS:
--- a/src/azurefold/core/membership/responsibility.py
+++ b/src/azurefold/core/membership/ownership.py
@@ -5,7 +5,7 @@
 from azurefold.core.clock import Millis
 from azurefold.core.membership.controls import Controls
 from azurefold.core.membership.endpoints import Endpoint, Role, State
-from azurefold.core.membership.watches import Watches
+from azurefold.core.membership.failure_detector import Watches
 
 __all__ = ["Responsibility"]
 
--- a/src/azurefold/core/membership/presence.py
+++ b/src/azurefold/core/membership/presence.py
@@ -90,7 +90,7 @@
         self._beat_at = now
         return self.tick(now)
 
-    def report_load(self, load: int) -> None:
+    def set_load(self, load: int) -> None:
         """Give the load that the next heartbeats carry, in hundredths."""
         self._load = load
 
--- a/src/azurefold/core/membership/registry.py
+++ b/src/azurefold/core/membership/registry.py
@@ -12,7 +12,7 @@
 
 from azurefold.core.clock import Millis
 from azurefold.core.membership.departures import Departures
-from azurefold.core.membership.entries import EndpointEntry
+from azurefold.core.membership.endpoint_entry import EndpointEntry
 
 __all__ = ["EndpointEntry", "EndpointRegistry", "RegistryPolicy"]
 
@@ -64,13 +64,13 @@
     policy : RegistryPolicy
     departures : Departures
         Endpoints that left.
-    is_read : bool
+    is_loaded : bool
         Whether the whole list was ever read.
     """
 
     policy: RegistryPolicy = field(default_factory=RegistryPolicy)
     departures: Departures = field(default_factory=Departures)
-    is_read: bool = False
+    is_loaded: bool = False
     _entries: dict[str, EndpointEntry] = field(default_factory=dict)
     _lapsed_until: dict[str, Millis] = field(default_factory=dict)
     _withheld: dict[str, _Withheld] = field(default_factory=dict)
@@ -107,17 +107,17 @@
             name for name, each in self._withheld.items() if each.told_until is None
         )
 
-    def store_lost(self) -> None:
+    def on_store_lost(self) -> None:
         """Note that the store does not answer."""
         self._store_lost = True
 
-    def store_regained(self, now: Millis) -> None:
+    def on_store_regained(self, now: Millis) -> None:
         """Note that the store answers again."""
         if self._store_lost:
             self._store_lost = False
             self._trust_until = now + self.policy.after_outage
 
-    def store_was_up(self, now: Millis) -> None:
+    def end_outage_grace(self, now: Millis) -> None:
         """Note that the store was away for this process alone: no entry has lapsed."""
         if not self._store_lost and now >= self._trust_until:
             return
@@ -125,9 +125,9 @@
         self._trust_until = now
         self._lapsed_until = dict.fromkeys(self._lapsed_until, now)
 
-    def store_returned(self, now: Millis) -> None:
+    def on_store_restored(self, now: Millis) -> None:
         """Note that the store came back from an older copy, not yet read."""
-        self.departures.store_returned()
+        self.departures.on_store_restored()
         self._settled_at = now + self.policy.settling
         self._is_first_read = True
         self._believed.clear()
@@ -139,7 +139,7 @@
         known_at: Millis | None = None,
     ) -> list[str]:
         """Take in the whole list; return those that have started again."""
-        self.is_read = True
+        self.is_loaded = True
         listed = {entry.name: entry for entry in entries}
         gone = [name for name in self._entries if name not in listed]
         if self._is_first_read:
@@ -177,7 +177,7 @@
         self._believed.update(entry.name for entry in entries)
         return self._take(entries, is_written=True)
 
-    def told_departed(self, names: Iterable[str], now: Millis) -> list[str]:
+    def withhold_reported(self, names: Iterable[str], now: Millis) -> list[str]:
         """Withhold entries that another process knows to be of an older copy.
 
         Entries that this one has seen written since the store's return, or that have
@@ -206,13 +206,13 @@
         restarted = []
         for entry in entries:
             known = self._entries.get(entry.name)
-            if known is not None and 0 < entry.born < known.born:
+            if known is not None and 0 < entry.started_at_ms < known.started_at_ms:
                 continue
             is_credible = self.departures.is_credible(entry, is_written=is_written)
             if not (entry.leaving or is_credible):
                 self._withheld[entry.name] = _Withheld(entry, is_written)
                 continue
-            if known is not None and 0 < known.born < entry.born:
+            if known is not None and 0 < known.started_at_ms < entry.started_at_ms:
                 restarted.append(entry.name)
             self._use(entry)
         return restarted
--- a/src/azurefold/core/membership/store_time.py
+++ b/src/azurefold/core/membership/store_clock.py
@@ -8,7 +8,7 @@
 
 from azurefold.core.clock import Millis
 
-__all__ = ["StoreTime"]
+__all__ = ["StoreClock"]
 
 _WINDOW_MS: Millis = 60_000
 """For which an offset is kept: two steady clocks drift apart by a few ms a minute."""
@@ -19,7 +19,7 @@
 
 
 @dataclass(slots=True)
-class StoreTime:
+class StoreClock:
     """A lower bound of the store's time.
 
     An answer that was delayed on its way shows an earlier time than the store's, so the
@@ -43,7 +43,7 @@
         offset = store_ms - received
         earliest = self.at(sent)
         if earliest is not None and store_ms < earliest - _STEP_BACK_MS:
-            self.forget()
+            self.reset()
         if self._offset is None:
             self._offset, self._window_began = offset, received
         elif received - self._window_began >= _WINDOW_MS:
@@ -52,7 +52,7 @@
         else:
             self._offset = max(self._offset, offset)
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Forget what answers have shown: another store is asked from now on."""
         self._offset = self._offset_before = None
 
@@ -61,7 +61,7 @@
 
         Examples
         --------
-        >>> time = StoreTime()
+        >>> time = StoreClock()
         >>> time.observe(store_ms=5_004, sent=1_000, received=1_010)
         >>> time.observe(store_ms=5_104, sent=1_100, received=1_300)
         >>> time.at(2_000)
--- a/src/azurefold/core/membership/eras.py
+++ b/src/azurefold/core/membership/store_era.py
@@ -22,7 +22,7 @@
 
     number: int | None = None
 
-    def has_ended(self, told: int | None) -> bool:
+    def advance_to(self, told: int | None) -> bool:
         """Whether an answer is of a later era; it is the reader's from now on.
 
         An answer that tells no era is none of a later one.
@@ -30,7 +30,7 @@
         Examples
         --------
         >>> era = StoreEra()
-        >>> [era.has_ended(told) for told in (3, None, 3, 4, 4, 2)]
+        >>> [era.advance_to(told) for told in (3, None, 3, 4, 4, 2)]
         [False, False, False, True, False, False]
         """
         if told is None or (self.number is not None and told <= self.number):
--- a/src/azurefold/core/membership/renewal.py
+++ b/src/azurefold/core/membership/table_refresh.py
@@ -12,7 +12,13 @@
 from azurefold.core.clock import Millis
 from azurefold.core.membership.freshness import TableFreshness
 
-__all__ = ["Renewal", "RenewalTimes", "Turn", "RenewalReason", "renewal_times"]
+__all__ = [
+    "RefreshScheduler",
+    "RefreshTimes",
+    "PollSlot",
+    "RefreshReason",
+    "refresh_times",
+]
 
 _TURN_SHARE = 0.35
 _AGED_SHARE = 0.475
@@ -25,7 +31,7 @@
 long is not just about to be told."""
 
 
-class RenewalReason(StrEnum):
+class RefreshReason(StrEnum):
     """Why a table is asked for anew."""
 
     BEHIND = "behind"
@@ -34,26 +40,26 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RenewalTimes:
+class RefreshTimes:
     """How old what is known of a table may grow, in milliseconds.
 
     Parameters
     ----------
-    turn_ms : int
+    slot_ms : int
         Between two answers of the store to processes that tell each other.
-    aged_ms : int
+    max_age_ms : int
         At which a process asks anew, at the earliest. Who is told of an answer within
         the rest of this time after a turn needs not ask.
-    spread_ms : int
+    max_jitter_ms : int
         Longest drawn time more: who asks first tells the others within it.
     """
 
-    turn_ms: Millis
-    aged_ms: Millis
-    spread_ms: Millis
+    slot_ms: Millis
+    max_age_ms: Millis
+    max_jitter_ms: Millis
 
 
-def renewal_times(bound_ms: Millis) -> RenewalTimes:
+def refresh_times(bound_ms: Millis) -> RefreshTimes:
     """Return the times of a site.
 
     Parameters
@@ -63,38 +69,38 @@
 
     Examples
     --------
-    >>> renewal_times(2_000)
-    RenewalTimes(turn_ms=700, aged_ms=950, spread_ms=300)
+    >>> refresh_times(2_000)
+    RefreshTimes(slot_ms=700, max_age_ms=950, max_jitter_ms=300)
     """
-    return RenewalTimes(
+    return RefreshTimes(
         round(_TURN_SHARE * bound_ms),
         round(_AGED_SHARE * bound_ms),
         round(_SPREAD_SHARE * bound_ms),
     )
 
 
-_USUAL_TIMES = renewal_times(2_000)
+_USUAL_TIMES = refresh_times(2_000)
 
 
 @dataclass(frozen=True, slots=True)
-class Turn:
+class PollSlot:
     """A process's place among those that tell each other what they know.
 
     Parameters
     ----------
     index : int
         From 0.
-    of : int
+    count : int
         How many there are, this one included.
-    ms : int
+    slot_ms : int
         Between two turns.
     """
 
     index: int = 0
-    of: int = 1
-    ms: Millis = _USUAL_TIMES.turn_ms
+    count: int = 1
+    slot_ms: Millis = _USUAL_TIMES.slot_ms
 
-    def feed_wait(self, store_now: Millis | None) -> Millis:
+    def poll_wait_ms(self, store_now: Millis | None) -> Millis:
         """Return how long the store should keep a feed's call with nothing to tell.
 
         Parameters
@@ -104,36 +110,38 @@
 
         Examples
         --------
-        >>> Turn(index=2, of=6).feed_wait(store_now=4_200)
+        >>> PollSlot(index=2, count=6).poll_wait_ms(store_now=4_200)
         1400
-        >>> Turn(index=2, of=6).feed_wait(store_now=5_600)
+        >>> PollSlot(index=2, count=6).poll_wait_ms(store_now=5_600)
         4200
         """
         if store_now is None:
-            return self.ms
-        until_turn = (self.ms * self.index - store_now) % (self.ms * self.of)
-        return until_turn or self.ms * self.of
+            return self.slot_ms
+        until_turn = (self.slot_ms * self.index - store_now) % (
+            self.slot_ms * self.count
+        )
+        return until_turn or self.slot_ms * self.count
 
 
 @dataclass(slots=True)
-class Renewal:
+class RefreshScheduler:
     """Decides when one table is asked for anew.
 
     Parameters
     ----------
     freshness : TableFreshness
-    times : RenewalTimes
+    times : RefreshTimes
     """
 
     freshness: TableFreshness
-    times: RenewalTimes = _USUAL_TIMES
+    times: RefreshTimes = _USUAL_TIMES
     _behind_since: Millis | None = None
     _asked_at: tuple[int, int] | None = None
     _spread: float | None = None
 
-    def reason(
+    def check(
         self, now: Millis, store_now: Millis | None, draw: float
-    ) -> RenewalReason | None:
+    ) -> RefreshReason | None:
         """Return why the table has to be asked for now; None if it has not.
 
         Parameters
@@ -149,12 +157,12 @@
             self._spread = draw
         why = self._behind(now)
         if why is None and self._is_aged(store_now):
-            why = RenewalReason.AGED
+            why = RefreshReason.AGED
         if why is not None:
             self._spread = draw
         return why
 
-    def _behind(self, now: Millis) -> RenewalReason | None:
+    def _behind(self, now: Millis) -> RefreshReason | None:
         if not self.freshness.is_behind:
             self._behind_since = None
             return None
@@ -163,13 +171,13 @@
         if now - self._behind_since < _BEHIND_FOR_MS:
             return None
         self._behind_since = now
-        held = (self.freshness.era, self.freshness.position)
+        held = (self.freshness.era, self.freshness.applied_version)
         before, self._asked_at = self._asked_at, held
-        return RenewalReason.STILL_BEHIND if before == held else RenewalReason.BEHIND
+        return RefreshReason.STILL_BEHIND if before == held else RefreshReason.BEHIND
 
     def _is_aged(self, store_now: Millis | None) -> bool:
-        if store_now is None or self.freshness.as_of is None:
+        if store_now is None or self.freshness.confirmed_at is None:
             return False
         age = self.freshness.age(store_now)
-        aged_ms = self.times.aged_ms + self.times.spread_ms * self._spread
-        return age is None or age >= aged_ms
+        max_age_ms = self.times.max_age_ms + self.times.max_jitter_ms * self._spread
+        return age is None or age >= max_age_ms
--- a/src/azurefold/gateway/groups/watch.py
+++ b/src/azurefold/gateway/groups/watch.py
@@ -208,7 +208,7 @@
                 self._note_whole(view)
             return
         entry = self.service.entries.get(endpoint)
-        born = max(self._born.get(endpoint, 0), entry.born if entry else 0)
+        born = max(self._born.get(endpoint, 0), entry.started_at_ms if entry else 0)
         if report.born < born:
             # Sent before the endpoint started again; it came late.
             return
--- a/src/azurefold/gateway/peers/exchange.py
+++ b/src/azurefold/gateway/peers/exchange.py
@@ -14,7 +14,7 @@
 from gevent import socket as gevent_socket
 
 from azurefold.core.clock import Millis
-from azurefold.core.membership.renewal import Turn
+from azurefold.core.membership.table_refresh import PollSlot
 from azurefold.core.routing.cells import Cell, cell_of
 from azurefold.core.routing.messages import LoadReport
 from azurefold.core.routing.peer_loads import LoadDigest, PeerLoads, endpoint_hash
@@ -155,8 +155,8 @@
     def _take_turn(self) -> None:
         own = self.state.settings.name
         heard = sorted({own, *self.loads.nodes})
-        turn_ms = self.state.renewal_times.turn_ms
-        self.state.turn = Turn(heard.index(own), len(heard), turn_ms)
+        slot_ms = self.state.renewal_times.slot_ms
+        self.state.turn = PollSlot(heard.index(own), len(heard), slot_ms)
 
     def receive_for_ever(self) -> None:
         """Take in messages."""
@@ -205,8 +205,8 @@
         departed = departed_marks(self.state.registry.departed)
         told = (
             loads,
-            configuration.proved_as_of,
-            endpoints.proved_as_of,
+            configuration.own_confirmed_at,
+            endpoints.own_confirmed_at,
             coordination,
             rates,
             is_waiting,
@@ -231,7 +231,7 @@
             self._sequence,
             settings.peers_port,
             self.state.version,
-            endpoints.newest,
+            endpoints.newest_version,
             coordination.term,
             coordination.ended_term,
             self._groups.next(coordination.groups, now),
@@ -241,8 +241,8 @@
             self.state.has_callers,
             is_waiting,
             crash_beats,
-            table_beat(configuration.statement),
-            table_beat(endpoints.statement, departed),
+            table_beat(configuration.watermark),
+            table_beat(endpoints.watermark, departed),
             self.state.store_time.at(now),
         )
         data = self._fitting(message)
--- a/src/azurefold/gateway/peers/membership.py
+++ b/src/azurefold/gateway/peers/membership.py
@@ -149,7 +149,7 @@
     reach = Reach(state)
 
     def on_message(message: PeerMessage) -> None:
-        reach.isolation.heard(message.node, state.clock.now())
+        reach.isolation.record_message(message.node, state.clock.now())
         state.note_peer_version(message.version)
         coordinator.heard(message)
         for beat in message.groups:
--- a/src/azurefold/gateway/peers/portions.py
+++ b/src/azurefold/gateway/peers/portions.py
@@ -13,7 +13,7 @@
 
 from azurefold.core.attempts.crashes import CrashReport
 from azurefold.core.clock import Millis
-from azurefold.core.membership.freshness import TableStatement
+from azurefold.core.membership.freshness import TableWatermark
 from azurefold.core.routing.peer_loads import endpoint_hash
 from azurefold.core.routing.quotas import QuotaReport
 from azurefold.core.routing.rank_groups import GroupStatus
@@ -128,7 +128,7 @@
 
 
 def table_beat(
-    statement: TableStatement | None, departed: tuple[int, ...] = ()
+    statement: TableWatermark | None, departed: tuple[int, ...] = ()
 ) -> TableBeat | None:
     """Return a statement as it is sent, with the marks of departed endpoints."""
     if statement is None:
@@ -136,12 +136,12 @@
     return TableBeat(*astuple(statement), departed)
 
 
-def table_statement(beat: TableBeat | None) -> TableStatement | None:
+def table_statement(beat: TableBeat | None) -> TableWatermark | None:
     """Return a statement as it was sent."""
     if beat is None:
         return None
     *statement, _ = msgspec.structs.astuple(beat)
-    return TableStatement(*statement)
+    return TableWatermark(*statement)
 
 
 @dataclass(slots=True)
--- a/src/azurefold/gateway/peers/reach.py
+++ b/src/azurefold/gateway/peers/reach.py
@@ -7,7 +7,7 @@
 from gevent import socket as gevent_socket
 
 from azurefold.core.clock import Millis
-from azurefold.core.membership.isolation import Isolation
+from azurefold.core.membership.isolation import IsolationDetector
 from azurefold.gateway.state import GatewayState
 from azurefold.internal.http_server import split_address
 from azurefold.internal.logs import log_event
@@ -38,11 +38,11 @@
     Parameters
     ----------
     state : GatewayState
-    isolation : Isolation
+    isolation : IsolationDetector
     """
 
     state: GatewayState
-    isolation: Isolation = field(default_factory=Isolation)
+    isolation: IsolationDetector = field(default_factory=IsolationDetector)
 
     def watch_for_ever(self) -> None:
         """Look, again and again."""
@@ -58,7 +58,7 @@
         log_event(_log, "cut_off" if is_cut_off else "cut_off_ended", logging.WARNING)
 
     def _seems_useless(self) -> bool:
-        if not self.isolation.seems_cut_off(self.state.clock.now()):
+        if not self.isolation.is_isolated(self.state.clock.now()):
             return False
         groups = [each for each in self.state.services.values() if each.is_group]
         return bool(groups) and not any(each.seems_to_run for each in groups)
--- a/src/azurefold/gateway/state.py
+++ b/src/azurefold/gateway/state.py
@@ -11,8 +11,12 @@
 from azurefold.core.clock import Clock, Millis
 from azurefold.core.membership.freshness import TableFreshness
 from azurefold.core.membership.registry import EndpointEntry, EndpointRegistry
-from azurefold.core.membership.renewal import RenewalTimes, Turn, renewal_times
-from azurefold.core.membership.store_time import StoreTime
+from azurefold.core.membership.store_clock import StoreClock
+from azurefold.core.membership.table_refresh import (
+    PollSlot,
+    RefreshTimes,
+    refresh_times,
+)
 from azurefold.core.routes.model import RoutingConfiguration
 from azurefold.core.routes.table import RouteTable, build_route_table
 from azurefold.core.routing.cells import Cell
@@ -88,8 +92,8 @@
         Endpoint crashes by request, including those reported by other gateways.
     configuration_freshness, endpoints_freshness : TableFreshness
         What is in force here of the store's two tables, and as of when.
-    store_time : StoreTime
-    turn : Turn
+    store_time : StoreClock
+    turn : PollSlot
         This gateway's place among those that tell each other what they know.
     is_cut_off : bool
         Whether this gateway reaches neither store nor peers nor any group.
@@ -126,8 +130,8 @@
     crashes: CrashTracker = field(default_factory=CrashTracker)
     configuration_freshness: TableFreshness = field(default_factory=TableFreshness)
     endpoints_freshness: TableFreshness = field(default_factory=TableFreshness)
-    store_time: StoreTime = field(default_factory=StoreTime)
-    turn: Turn = field(default_factory=Turn)
+    store_time: StoreClock = field(default_factory=StoreClock)
+    turn: PollSlot = field(default_factory=PollSlot)
     is_cut_off: bool = False
     unreadable_entries: int = 0
     oversized_messages: int = 0
@@ -158,7 +162,7 @@
     @property
     def is_ready(self) -> bool:
         """Whether new requests should be sent here."""
-        is_usable = self.configuration is not None and self.registry.is_read
+        is_usable = self.configuration is not None and self.registry.is_loaded
         if self._is_starting and self._is_outdated:
             return False
         return is_usable and not self.is_cut_off and not self.draining
@@ -177,9 +181,9 @@
         return self._version < self._version_at_start
 
     @property
-    def renewal_times(self) -> RenewalTimes:
+    def renewal_times(self) -> RefreshTimes:
         """How old what is known of the store's tables may grow."""
-        return renewal_times(min(self.settings.apply_ms, self.settings.drain_ms))
+        return refresh_times(min(self.settings.apply_ms, self.settings.drain_ms))
 
     @property
     def store_now(self) -> Millis | None:
@@ -283,7 +287,7 @@
             Identity of the request.
         entry : EndpointEntry
         """
-        incarnation = endpoint_hash(f"{entry.name}@{entry.born}")
+        incarnation = endpoint_hash(f"{entry.name}@{entry.started_at_ms}")
         self.crashes.note_crash(identity, incarnation, self.clock.now())
         self.demand_changed.set()
 
@@ -329,7 +333,7 @@
             for name in (*registry.entries, *registry.withheld)
             if endpoint_hash(name) in marks
         ]
-        taken = registry.told_departed(names, self.clock.now())
+        taken = registry.withhold_reported(names, self.clock.now())
         if taken:
             told = ",".join(sorted(taken))
             log_event(_log, "endpoints_withheld", endpoints=told, told_by=by)
--- a/src/azurefold/gateway/store/followers.py
+++ b/src/azurefold/gateway/store/followers.py
@@ -8,9 +8,9 @@
 import gevent
 
 from azurefold.core.clock import Clock, Millis
-from azurefold.core.membership.eras import StoreEra
 from azurefold.core.membership.freshness import TableFreshness
-from azurefold.core.membership.store_time import StoreTime
+from azurefold.core.membership.store_clock import StoreClock
+from azurefold.core.membership.store_era import StoreEra
 from azurefold.internal.logs import log_event
 from azurefold.platform.store import Feed, StoreClient
 from azurefold.platform.store_messages import (
@@ -74,7 +74,7 @@
         is taken in.
     freshness : TableFreshness
         What is in force here of the table, and as of when.
-    store_time : StoreTime
+    store_time : StoreClock
     """
 
     store: StoreClient
@@ -91,7 +91,7 @@
     is_behind: Callable[[], bool] = lambda: False
     on_return: Callable[[], None] = lambda: None
     freshness: TableFreshness = field(default_factory=TableFreshness)
-    store_time: StoreTime = field(default_factory=StoreTime)
+    store_time: StoreClock = field(default_factory=StoreClock)
     version: int | None = None
     _era: StoreEra = field(default_factory=StoreEra)
     _feed: Feed | None = None
@@ -144,8 +144,8 @@
         """Follow the table of another store from now on."""
         self.store = store
         self.version = None
-        self.freshness.forget()
-        self.store_time.forget()
+        self.freshness.reset()
+        self.store_time.reset()
         self._era = StoreEra()
         self.renew()
         self._close_feed()
@@ -167,16 +167,16 @@
                 self._lost("a whole read of an earlier moment")
             case StoredRows(rows=rows, version=version, era=era):
                 self._heard(answer.store_ms, sent)
-                self._era.has_ended(era)
+                self._era.advance_to(era)
                 if self._is_from_a_copy(version):
                     self._note_return()
                 self.on_rows(rows)
                 self.version = version
-                self.freshness.read_whole(
+                self.freshness.record_full_read(
                     self._era.number or 0, version, answer.store_ms
                 )
                 self._must_prove = False
-            case FeedChanges(era=era) if self._era.has_ended(era):
+            case FeedChanges(era=era) if self._era.advance_to(era):
                 self._heard(answer.store_ms, sent)
                 # Its changes are of another history than the version asked for.
                 log_event(_log, "store_era_rose", table=self.table, era=era)
@@ -203,7 +203,7 @@
 
     def _is_older(self, read: StoredRows) -> bool:
         """Whether a whole read shows the table as it was before what is known."""
-        if read.version >= self.freshness.position:
+        if read.version >= self.freshness.applied_version:
             self._older_since = None
             return False
         if read.era is not None:
@@ -217,7 +217,7 @@
         """Whether a whole read shows another history than the one that is known."""
         known = self.freshness
         is_later_era = 0 < known.era < (self._era.number or 0)
-        return is_later_era or version < known.position
+        return is_later_era or version < known.applied_version
 
     def _note_return(self) -> None:
         log_event(
@@ -227,14 +227,14 @@
             table=self.table,
             era=self._era.number,
             before=self.freshness.era,
-            known=self.freshness.position,
+            known=self.freshness.applied_version,
         )
         self.on_return()
 
     def _note_in_force(self, answer: FeedChanges) -> None:
         newest = answer.rows[-1].version if answer.rows else None
         store_ms = answer.store_ms if answer.is_all else None
-        self.freshness.read_changes(answer.version, newest, store_ms)
+        self.freshness.record_changes(answer.version, newest, store_ms)
         self._must_prove = not answer.is_all
 
     def _read_all(self) -> StoredRows | Unavailable:
@@ -275,7 +275,7 @@
             self._failing_since = self.clock.now()
             log_event(_log, "store_lost", logging.WARNING, table=self.table, why=reason)
         self._failures += 1
-        self.freshness.interrupted()
+        self.freshness.record_failed_call()
         self.on_doubt()
         # One failure may be a connection that was reset; the store counts as
         # away when the next try fails too.
--- a/src/azurefold/gateway/store/news.py
+++ b/src/azurefold/gateway/store/news.py
@@ -4,9 +4,9 @@
 from dataclasses import dataclass, field
 
 from azurefold.core.clock import Millis
-from azurefold.core.membership.freshness import TableStatement
+from azurefold.core.membership.freshness import TableWatermark
 from azurefold.core.membership.registry import EndpointEntry
-from azurefold.core.membership.renewal import Renewal, RenewalReason
+from azurefold.core.membership.table_refresh import RefreshReason, RefreshScheduler
 from azurefold.core.routes.model import RoutingConfiguration
 from azurefold.gateway.state import GatewayState
 from azurefold.gateway.store.followers import TableFollower
@@ -46,16 +46,16 @@
     state: GatewayState
     configuration: TableFollower
     endpoints: TableFollower
-    _renewals: tuple[tuple[TableFollower, Renewal], ...] = field(init=False)
+    _renewals: tuple[tuple[TableFollower, RefreshScheduler], ...] = field(init=False)
 
     def __post_init__(self) -> None:
         self._renewals = tuple(
-            (follower, Renewal(follower.freshness))
+            (follower, RefreshScheduler(follower.freshness))
             for follower in (self.configuration, self.endpoints)
         )
 
     def merge_statements(
-        self, configuration: TableStatement | None, endpoints: TableStatement | None
+        self, configuration: TableWatermark | None, endpoints: TableWatermark | None
     ) -> None:
         """Take in what another node knows of the two tables."""
         state, store_now = self.state, self.state.store_now
@@ -65,17 +65,17 @@
             return
         known = self.endpoints.freshness
         known.merge(endpoints, store_now)
-        if store_now is not None and known.is_interrupted_alone(endpoints, store_now):
-            state.registry.store_was_up(state.clock.now())
+        if store_now is not None and known.is_outage_local(endpoints, store_now):
+            state.registry.end_outage_grace(state.clock.now())
 
     def tick(self, now: Millis) -> None:
         """Ask the store anew where other nodes know more, or what is known is old."""
         store_now = self.state.store_now
         for follower, renewal in self._renewals:
             renewal.times = self.state.renewal_times
-            why = renewal.reason(now, store_now, self.state.draw.random())
+            why = renewal.check(now, store_now, self.state.draw.random())
             if why is None or not follower.renew(
-                whole=why is RenewalReason.STILL_BEHIND
+                whole=why is RefreshReason.STILL_BEHIND
             ):
                 continue
             log_event(
@@ -84,7 +84,7 @@
                 table=follower.table,
                 why=why,
                 age_ms=follower.freshness.age(store_now),
-                row=follower.freshness.position,
+                row=follower.freshness.applied_version,
             )
 
     def use_store(self, store: StoreClient) -> None:
@@ -241,7 +241,9 @@
         return TableFollower(
             store=store,
             table=table,
-            wait_ms=lambda: min(state.turn.feed_wait(state.store_now), LONGEST_WAIT_MS),
+            wait_ms=lambda: min(
+                state.turn.poll_wait_ms(state.store_now), LONGEST_WAIT_MS
+            ),
             gather_ms=gather_ms,
             clock=state.clock,
             draw=state.draw,
@@ -255,7 +257,7 @@
         )
 
     def heard_of_endpoints() -> None:
-        state.registry.store_regained(state.clock.now())
+        state.registry.on_store_regained(state.clock.now())
 
     news = News(
         state,
@@ -274,12 +276,14 @@
             applier.endpoint_rows,
             applier.endpoint_changes,
             heard_of_endpoints,
-            state.registry.store_lost,
+            state.registry.on_store_lost,
             state.endpoints_freshness,
         ),
     )
     known = state.configuration_freshness
     news.configuration.is_behind = lambda: known.is_behind
     news.configuration.on_return = state.note_store_return
-    news.endpoints.on_return = lambda: state.registry.store_returned(state.clock.now())
+    news.endpoints.on_return = lambda: state.registry.on_store_restored(
+        state.clock.now()
+    )
     return news
--- a/src/azurefold/platform/registry.py
+++ b/src/azurefold/platform/registry.py
@@ -58,7 +58,7 @@
         data_centre=read.zone,
         slots=read.slots,
         leaving=read.state == _LEAVING,
-        born=read.born,
+        started_at_ms=read.born,
     )
 
 
--- a/tests/core/membership/test_directory.py
+++ b/tests/core/membership/test_directory.py
@@ -6,9 +6,9 @@
 from azurefold.core.membership import controls as controls_module
 from azurefold.core.membership.directory import Directory
 from azurefold.core.membership.endpoints import Role, State
+from azurefold.core.membership.failure_detector import Watches
 from azurefold.core.membership.messages import Announcement, Source, Timing
 from azurefold.core.membership.vm_list import ListedVm
-from azurefold.core.membership.watches import Watches
 
 EXPIRY = Timing().expiry
 SPREAD = 10_000
--- a/tests/core/membership/test_lapsed_entries_are_trusted_for_a_moment.py
+++ b/tests/core/membership/test_lapsed_entries.py
@@ -33,8 +33,8 @@
     On its return the feed tells that all are gone, and the endpoints write
     themselves in again only within the next two seconds.
     """
-    registry.store_lost()
-    registry.store_regained(now=1_000)
+    registry.on_store_lost()
+    registry.on_store_regained(now=1_000)
     registry.remove([f"e{number}" for number in range(10)], now=1_050)
     assert len(names(registry)) == 10
     registry.put([entry(number) for number in range(9)])
@@ -45,8 +45,8 @@
 
 def test_a_leaving_endpoint_whose_entry_goes_is_gone_also_after_an_outage(registry):
     registry.put([entry(3, leaving=True)])
-    registry.store_lost()
-    registry.store_regained(now=1_000)
+    registry.on_store_lost()
+    registry.on_store_regained(now=1_000)
     registry.remove(["e3"], now=1_050)
     assert "e3" not in names(registry)
 
@@ -64,8 +64,8 @@
 
 
 def test_a_removal_long_after_an_outage_is_believed(registry):
-    registry.store_lost()
-    registry.store_regained(now=1_000)
+    registry.on_store_lost()
+    registry.on_store_regained(now=1_000)
     registry.remove(["e1"], now=9_000)
     assert "e1" not in names(registry)
 
--- a/tests/core/membership/test_records.py
+++ b/tests/core/membership/test_records.py
@@ -6,8 +6,8 @@
 
 from azurefold.core.membership.buckets import Buckets
 from azurefold.core.membership.endpoints import Endpoint, State, join
+from azurefold.core.membership.gossip_queue import MAX_PAYLOAD, page, wire_size
 from azurefold.core.membership.rendezvous import homes
-from azurefold.core.membership.rumours import MAX_PAYLOAD, page, wire_size
 
 RECORDS = st.builds(
     Endpoint,
--- a/tests/core/membership/test_an_older_copy_brings_nothing_back.py
+++ b/tests/core/membership/test_restore_from_older_copy.py
@@ -13,9 +13,9 @@
 NAMES = ("e1", "e2", "e3")
 
 
-def entry(name, *, leaving=False, born=0):
+def entry(name, *, leaving=False, started_at_ms=0):
     return EndpointEntry(
-        name, "desk", f"10.0.0.{name[1:]}:80", "dc-a", 6, leaving, born
+        name, "desk", f"10.0.0.{name[1:]}:80", "dc-a", 6, leaving, started_at_ms
     )
 
 
@@ -30,10 +30,10 @@
     return registry.entries.keys() - registry.leaving
 
 
-def come_back(registry, names, now, born=0):
+def come_back(registry, names, now, started_at_ms=0):
     """Take in the store's older copy."""
-    registry.store_returned(now)
-    registry.replace([entry(name, born=born) for name in names], now)
+    registry.on_store_restored(now)
+    registry.replace([entry(name, started_at_ms=started_at_ms) for name in names], now)
 
 
 def test_a_removed_endpoint_that_is_back_and_stays_is_used(registry):
@@ -64,30 +64,30 @@
     assert in_use(registry) == {"e2", "e3"}
 
 
-@pytest.mark.parametrize("born", [0, 5])
-def test_an_endpoint_that_announced_its_departure_stays_out(born):
+@pytest.mark.parametrize("started_at_ms", [0, 5])
+def test_an_endpoint_that_announced_its_departure_stays_out(started_at_ms):
     """Guards against an announcement that is forgotten while its entry goes unread."""
     registry = EndpointRegistry()
-    registry.replace([entry("e1", born=born), entry("e2")], now=0)
-    registry.put([entry("e1", leaving=True, born=born)])
+    registry.replace([entry("e1", started_at_ms=started_at_ms), entry("e2")], now=0)
+    registry.put([entry("e1", leaving=True, started_at_ms=started_at_ms)])
     registry.remove(["e1"], now=10)
-    registry.store_returned(1_000)
-    registry.replace([entry("e1", born=born), entry("e2")], now=1_000)
+    registry.on_store_restored(1_000)
+    registry.replace([entry("e1", started_at_ms=started_at_ms), entry("e2")], now=1_000)
     registry.tick(now=60_000)
     assert in_use(registry) == {"e2"}
 
 
 @pytest.mark.parametrize(
-    ("born", "used"), [(4, {"e2"}), (5, {"e2"}), (6, {"e1", "e2"})]
+    ("started_at_ms", "used"), [(4, {"e2"}), (5, {"e2"}), (6, {"e1", "e2"})]
 )
-def test_only_a_later_start_takes_an_announcement_back(born, used):
+def test_only_a_later_start_takes_an_announcement_back(started_at_ms, used):
     """Guards against an older entry, written again first, that ends a leaving."""
     registry = EndpointRegistry()
-    registry.replace([entry("e1", born=5), entry("e2")], now=0)
-    registry.put([entry("e1", leaving=True, born=5)])
-    registry.store_returned(1_000)
-    registry.replace([entry("e1", born=5), entry("e2")], now=1_000)
-    registry.put([entry("e1", born=born)])
+    registry.replace([entry("e1", started_at_ms=5), entry("e2")], now=0)
+    registry.put([entry("e1", leaving=True, started_at_ms=5)])
+    registry.on_store_restored(1_000)
+    registry.replace([entry("e1", started_at_ms=5), entry("e2")], now=1_000)
+    registry.put([entry("e1", started_at_ms=started_at_ms)])
     registry.tick(now=60_000)
     assert in_use(registry) == used
 
@@ -136,7 +136,7 @@
     known = Departures()
     for number in range(5):
         known.note(entry(f"e{number}"))
-    known.store_returned()
+    known.on_store_restored()
     doubted = [
         number
         for number in range(5)
@@ -160,13 +160,13 @@
 
     def __init__(self):
         self.registry = EndpointRegistry()
-        self.rows = {name: entry(name, born=1) for name in NAMES}
+        self.rows = {name: entry(name, started_at_ms=1) for name in NAMES}
         self.registry.replace(self.rows.values(), now=0)
         self.copy = dict(self.rows)
         self.starts = 1
         self.now = 0
         self.departed = {}
-        self.born = dict.fromkeys(NAMES, 1)
+        self.started_at_ms = dict.fromkeys(NAMES, 1)
         self.back_since = dict.fromkeys(NAMES, 0)
 
     def step(self, action, name):
@@ -174,15 +174,15 @@
         match action:
             case "join":
                 self.starts += 1
-                self.born[name] = self.starts
+                self.started_at_ms[name] = self.starts
                 self.departed.pop(name, None)
-                self._write(entry(name, born=self.starts))
+                self._write(entry(name, started_at_ms=self.starts))
             case "drain" if row is not None:
-                self.departed[name] = row.born
-                self._write(entry(name, leaving=True, born=row.born))
+                self.departed[name] = row.started_at_ms
+                self._write(entry(name, leaving=True, started_at_ms=row.started_at_ms))
             case "remove" | "lapse" if row is not None:
                 if action == "remove":
-                    self.departed[name] = row.born
+                    self.departed[name] = row.started_at_ms
                 del self.rows[name]
                 self.registry.remove([name], self.now)
                 self.back_since.pop(name, None)
@@ -200,7 +200,10 @@
     def check(self):
         used = self.registry.entries.keys() - self.registry.leaving
         for name, row in self.rows.items():
-            is_sound = name not in self.departed and row.born == self.born[name]
+            is_sound = (
+                name not in self.departed
+                and row.started_at_ms == self.started_at_ms[name]
+            )
             since = self.back_since.get(name, self.now)
             if is_sound and self.now - since >= SETTLING_MS + TICK_MS:
                 assert name in used, f"{name} is kept out at {self.now}"
@@ -211,12 +214,12 @@
         known = self.registry
         left = {
             name
-            for name, born in self.departed.items()
+            for name, started_at_ms in self.departed.items()
             if name in self.rows
-            and self.rows[name].born <= born
+            and self.rows[name].started_at_ms <= started_at_ms
             and name not in known.entries.keys() - known.leaving
         }
-        known.store_returned(self.now)
+        known.on_store_restored(self.now)
         known.replace(self.rows.values(), self.now)
         used = known.entries.keys() - known.leaving
         assert not used & left, f"{used & left} are used again at {self.now}"
@@ -243,7 +246,7 @@
 
 def test_an_announcement_that_is_read_ends_a_word(registry):
     """Guards against an entry of before that is used again once a word is over."""
-    registry.told_departed(["e1"], now=100)
+    registry.withhold_reported(["e1"], now=100)
     registry.replace([entry("e1", leaving=True), entry("e2"), entry("e3")], now=200)
     registry.tick(now=9_000)
     assert in_use(registry) == {"e2", "e3"}
--- a/tests/core/membership/test_knowledge_of_a_table_ages.py
+++ b/tests/core/membership/test_table_freshness.py
@@ -4,62 +4,62 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from azurefold.core.membership.freshness import TableFreshness, TableStatement
-from azurefold.core.membership.renewal import (
-    Renewal,
-    RenewalReason,
-    Turn,
-    renewal_times,
+from azurefold.core.membership.freshness import TableFreshness, TableWatermark
+from azurefold.core.membership.store_clock import StoreClock
+from azurefold.core.membership.table_refresh import (
+    PollSlot,
+    RefreshReason,
+    RefreshScheduler,
+    refresh_times,
 )
-from azurefold.core.membership.store_time import StoreTime
 
 MINUTE_MS = 60_000
-TURN_MS = renewal_times(2_000).turn_ms
+TURN_MS = refresh_times(2_000).slot_ms
 
 
 @pytest.fixture
 def known():
     known = TableFreshness()
-    known.read_whole(era=1, version=10, store_ms=5_000)
-    known.read_changes(version=12, newest=12, store_ms=5_100)
+    known.record_full_read(era=1, version=10, store_ms=5_000)
+    known.record_changes(version=12, newest_version=12, store_ms=5_100)
     return known
 
 
 def test_nothing_is_told_before_the_first_answer():
     known = TableFreshness()
-    assert known.statement is None
+    assert known.watermark is None
     assert known.age(5_000) is None
 
 
 def test_a_whole_table_is_told_as_inexact(known):
-    known.read_whole(era=1, version=20, store_ms=5_200)
-    assert known.statement == TableStatement(
+    known.record_full_read(era=1, version=20, store_ms=5_200)
+    assert known.watermark == TableWatermark(
         1, 20, 5_200, is_exact=False, answered_since=5_000
     )
 
 
 def test_changes_are_told_as_exact(known):
-    assert known.statement == TableStatement(1, 12, 5_100, answered_since=5_000)
+    assert known.watermark == TableWatermark(1, 12, 5_100, answered_since=5_000)
 
 
 def test_an_answer_without_changes_keeps_the_newest(known):
-    known.read_changes(version=30, newest=None, store_ms=5_500)
-    assert known.statement == TableStatement(1, 12, 5_500, answered_since=5_000)
+    known.record_changes(version=30, newest_version=None, store_ms=5_500)
+    assert known.watermark == TableWatermark(1, 12, 5_500, answered_since=5_000)
 
 
 def test_an_answer_that_has_more_to_come_proves_nothing(known):
-    known.read_changes(version=14, newest=14, store_ms=None)
+    known.record_changes(version=14, newest_version=14, store_ms=None)
     assert known.age(5_400) == 300
 
 
 def test_a_delayed_proof_does_not_make_knowledge_older(known):
-    known.merge(TableStatement(1, 12, 5_900))
-    known.read_changes(version=12, newest=None, store_ms=5_500)
-    assert (known.as_of, known.proved_as_of) == (5_900, 5_500)
+    known.merge(TableWatermark(1, 12, 5_900))
+    known.record_changes(version=12, newest_version=None, store_ms=5_500)
+    assert (known.confirmed_at, known.own_confirmed_at) == (5_900, 5_500)
 
 
 def test_a_statement_of_no_more_than_is_known_renews(known):
-    known.merge(TableStatement(1, 12, 5_800))
+    known.merge(TableWatermark(1, 12, 5_800))
     assert known.age(6_000) == 200
     assert not known.is_behind
 
@@ -67,25 +67,25 @@
 @pytest.mark.parametrize(
     "told",
     [
-        pytest.param(TableStatement(1, 13, 9_000), id="ahead"),
-        pytest.param(TableStatement(1, 13, 9_000, is_exact=False), id="ahead, inexact"),
-        pytest.param(TableStatement(2, 3, 9_000), id="later era"),
-        pytest.param(TableStatement(0, 3, 9_000), id="earlier era"),
-        pytest.param(TableStatement(1, 12, 4_000), id="older"),
+        pytest.param(TableWatermark(1, 13, 9_000), id="ahead"),
+        pytest.param(TableWatermark(1, 13, 9_000, is_exact=False), id="ahead, inexact"),
+        pytest.param(TableWatermark(2, 3, 9_000), id="later era"),
+        pytest.param(TableWatermark(0, 3, 9_000), id="earlier era"),
+        pytest.param(TableWatermark(1, 12, 4_000), id="older"),
     ],
 )
 def test_other_statements_renew_nothing(known, told):
     known.merge(told)
-    assert known.as_of == 5_100
+    assert known.confirmed_at == 5_100
 
 
 @pytest.mark.parametrize(
     ("told", "is_behind"),
     [
-        (TableStatement(1, 13, 5_000), True),
-        (TableStatement(1, 13, 5_000, is_exact=False), False),
-        (TableStatement(2, 3, 5_000), True),
-        (TableStatement(0, 99, 5_000), False),
+        (TableWatermark(1, 13, 5_000), True),
+        (TableWatermark(1, 13, 5_000, is_exact=False), False),
+        (TableWatermark(2, 3, 5_000), True),
+        (TableWatermark(0, 99, 5_000), False),
     ],
 )
 def test_only_exact_statements_of_something_newer_show_a_lag(known, told, is_behind):
@@ -94,42 +94,42 @@
 
 
 def test_a_lag_ends_once_the_change_is_in_force(known):
-    known.merge(TableStatement(1, 13, 5_000))
-    known.read_changes(version=13, newest=13, store_ms=5_200)
+    known.merge(TableWatermark(1, 13, 5_000))
+    known.record_changes(version=13, newest_version=13, store_ms=5_200)
     assert not known.is_behind
 
 
 def test_an_exact_statement_replaces_the_version_of_a_read(known):
-    known.read_whole(era=1, version=20, store_ms=5_200)
-    known.merge(TableStatement(1, 12, 5_300))
-    assert known.statement == TableStatement(1, 12, 5_300, answered_since=5_000)
+    known.record_full_read(era=1, version=20, store_ms=5_200)
+    known.merge(TableWatermark(1, 12, 5_300))
+    assert known.watermark == TableWatermark(1, 12, 5_300, answered_since=5_000)
 
 
-@pytest.mark.parametrize("as_of", [5_100, 5_150])
-def test_an_exact_version_is_not_lowered_by_an_older_statement(known, as_of):
+@pytest.mark.parametrize("confirmed_at", [5_100, 5_150])
+def test_an_exact_version_is_not_lowered_by_an_older_statement(known, confirmed_at):
     """Guards against telling of an older version as the newest of a later moment."""
-    known.read_changes(version=16, newest=16, store_ms=None)
-    known.merge(TableStatement(1, 12, as_of))
-    known.merge(TableStatement(1, 16, 5_300))
-    assert known.statement.newest == 16
+    known.record_changes(version=16, newest_version=16, store_ms=None)
+    known.merge(TableWatermark(1, 12, confirmed_at))
+    known.merge(TableWatermark(1, 16, 5_300))
+    assert known.watermark.newest_version == 16
 
 
 def test_a_later_era_forgets_when_the_earlier_one_was_proved(known):
-    known.read_whole(era=2, version=4, store_ms=None)
-    assert known.as_of is None
-    known.read_whole(era=2, version=4, store_ms=100)
+    known.record_full_read(era=2, version=4, store_ms=None)
+    assert known.confirmed_at is None
+    known.record_full_read(era=2, version=4, store_ms=100)
     assert known.age(150) == 50
 
 
 def test_an_answer_after_the_clock_started_anew_dates_knowledge(known):
     """Guards against knowledge that never ages after the store's clock started anew."""
-    known.read_changes(version=12, newest=None, store_ms=100)
+    known.record_changes(version=12, newest_version=None, store_ms=100)
     assert known.age(2_100) == 2_000
 
 
 def test_knowledge_does_not_count_as_new_while_its_date_is_ahead(known):
     """Guards against a table that never ages since the other one's answer came."""
-    time = StoreTime()
+    time = StoreClock()
     time.observe(store_ms=5_100, sent=0, received=0)
     time.observe(store_ms=100, sent=400, received=400)
     age = known.age(time.at(2_400))
@@ -137,23 +137,23 @@
 
 
 def test_an_interruption_of_this_process_alone_shows_by_another_ones_answers(known):
-    known.interrupted()
-    known.merge(TableStatement(1, 12, 9_000, answered_since=4_000))
-    own = TableStatement(1, 12, 9_000, answered_since=4_000)
-    assert known.is_interrupted_alone(own, store_now=9_200)
-    assert not known.is_interrupted_alone(own, store_now=12_000)
+    known.record_failed_call()
+    known.merge(TableWatermark(1, 12, 9_000, answered_since=4_000))
+    own = TableWatermark(1, 12, 9_000, answered_since=4_000)
+    assert known.is_outage_local(own, store_now=9_200)
+    assert not known.is_outage_local(own, store_now=12_000)
 
 
 @pytest.mark.parametrize("answered_since", [None, 5_101])
 def test_an_interruption_of_others_too_is_not_this_process_alone(known, answered_since):
-    known.interrupted()
-    told = TableStatement(1, 12, 9_000, answered_since=answered_since)
-    assert not known.is_interrupted_alone(told, store_now=9_200)
+    known.record_failed_call()
+    told = TableWatermark(1, 12, 9_000, answered_since=answered_since)
+    assert not known.is_outage_local(told, store_now=9_200)
 
 
 def test_all_is_forgotten_with_the_store(known):
-    known.merge(TableStatement(1, 99, 9_000))
-    known.forget()
+    known.merge(TableWatermark(1, 99, 9_000))
+    known.reset()
     assert known == TableFreshness()
 
 
@@ -172,67 +172,67 @@
     known, evidence = TableFreshness(), {0: 0}
     for kind, era, version, at, is_exact in steps:
         if kind == "prove":
-            known.read_whole(era, version, at)
+            known.record_full_read(era, version, at)
         else:
-            known.merge(TableStatement(era, version, at, is_exact))
-            if version > known.position:
+            known.merge(TableWatermark(era, version, at, is_exact))
+            if version > known.applied_version:
                 continue
         evidence[era] = max(evidence.get(era, 0), at)
-        assert known.as_of is None or known.as_of <= evidence[known.era]
+        assert known.confirmed_at is None or known.confirmed_at <= evidence[known.era]
 
 
 def test_turns_are_a_turn_apart():
     for now in (0, 1, TURN_MS, 6 * TURN_MS + 99, 7_000_123):
-        ends = sorted(now + Turn(index, 6).feed_wait(now) for index in range(6))
+        ends = sorted(now + PollSlot(index, 6).poll_wait_ms(now) for index in range(6))
         assert now < ends[0] <= now + TURN_MS
         assert {b - a for a, b in zip(ends, ends[1:], strict=False)} == {TURN_MS}
-    assert Turn().feed_wait(None) == TURN_MS
+    assert PollSlot().poll_wait_ms(None) == TURN_MS
 
 
 def test_an_aged_table_is_asked_for_between_950_and_1250_ms(known):
-    renewal = Renewal(known)
-    assert renewal.reason(0, 6_049, 0.0) is None
-    assert renewal.reason(0, 6_050, 0.999) is RenewalReason.AGED
-    assert renewal.reason(0, 6_349, 0.0) is None
-    assert renewal.reason(0, 6_350, 0.0) is RenewalReason.AGED
+    renewal = RefreshScheduler(known)
+    assert renewal.check(0, 6_049, 0.0) is None
+    assert renewal.check(0, 6_050, 0.999) is RefreshReason.AGED
+    assert renewal.check(0, 6_349, 0.0) is None
+    assert renewal.check(0, 6_350, 0.0) is RefreshReason.AGED
 
 
 @pytest.mark.parametrize("bound_ms", [2_000, 3_000, 4_000])
 def test_asking_anew_leaves_a_third_of_the_bound_for_the_call(bound_ms):
-    times = renewal_times(bound_ms)
-    assert times.turn_ms < times.aged_ms
-    assert 3 * (times.aged_ms + times.spread_ms) <= 2 * bound_ms
+    times = refresh_times(bound_ms)
+    assert times.slot_ms < times.max_age_ms
+    assert 3 * (times.max_age_ms + times.max_jitter_ms) <= 2 * bound_ms
 
 
 def test_a_table_that_is_not_dated_is_not_asked_for(known):
-    assert Renewal(known).reason(0, None, 0.0) is None
-    assert Renewal(TableFreshness()).reason(0, 99_000, 0.0) is None
+    assert RefreshScheduler(known).check(0, None, 0.0) is None
+    assert RefreshScheduler(TableFreshness()).check(0, 99_000, 0.0) is None
 
 
 def test_a_lag_has_to_last_and_is_told_apart_when_it_stays(known):
-    renewal = Renewal(known)
-    known.merge(TableStatement(1, 13, 5_100))
-    dues = [renewal.reason(now, 5_200, 0.0) for now in (0, 499, 500, 999, 1_000)]
-    assert dues == [None, None, RenewalReason.BEHIND, None, RenewalReason.STILL_BEHIND]
+    renewal = RefreshScheduler(known)
+    known.merge(TableWatermark(1, 13, 5_100))
+    dues = [renewal.check(now, 5_200, 0.0) for now in (0, 499, 500, 999, 1_000)]
+    assert dues == [None, None, RefreshReason.BEHIND, None, RefreshReason.STILL_BEHIND]
 
 
 def test_a_lag_that_ended_begins_anew(known):
-    renewal = Renewal(known)
-    known.merge(TableStatement(1, 13, 5_100))
-    assert renewal.reason(0, 5_200, 0.0) is None
-    known.read_changes(version=13, newest=13, store_ms=5_200)
-    assert renewal.reason(400, 5_300, 0.0) is None
-    known.merge(TableStatement(1, 14, 5_300))
-    assert renewal.reason(600, 5_400, 0.0) is None
-    assert renewal.reason(1_100, 5_400, 0.0) is RenewalReason.BEHIND
+    renewal = RefreshScheduler(known)
+    known.merge(TableWatermark(1, 13, 5_100))
+    assert renewal.check(0, 5_200, 0.0) is None
+    known.record_changes(version=13, newest_version=13, store_ms=5_200)
+    assert renewal.check(400, 5_300, 0.0) is None
+    known.merge(TableWatermark(1, 14, 5_300))
+    assert renewal.check(600, 5_400, 0.0) is None
+    assert renewal.check(1_100, 5_400, 0.0) is RefreshReason.BEHIND
 
 
 def test_the_store_time_is_not_known_before_an_answer():
-    assert StoreTime().at(1_000) is None
+    assert StoreClock().at(1_000) is None
 
 
 def test_a_delayed_answer_does_not_set_the_time_back():
-    time = StoreTime()
+    time = StoreClock()
     time.observe(store_ms=5_004, sent=1_000, received=1_010)
     time.observe(store_ms=5_104, sent=1_100, received=3_100)
     assert time.at(4_000) == 7_994
@@ -240,7 +240,7 @@
 
 @pytest.mark.parametrize("ahead", [-900, 900])
 def test_the_clock_starts_anew(ahead):
-    time = StoreTime()
+    time = StoreClock()
     time.observe(store_ms=7_000_000, sent=0, received=10)
     time.observe(store_ms=1_000 + ahead, sent=1_000, received=1_010)
     assert time.at(1_010) == 1_000 + ahead
@@ -248,7 +248,7 @@
 
 @given(st.integers(-20, 20), st.integers(2, 12))
 def test_drift_is_followed_within_two_windows(drift, minutes):
-    time, step = StoreTime(), 1_000
+    time, step = StoreClock(), 1_000
 
     def store_ms(now):
         return 7_000_000 + now + drift * now // MINUTE_MS
@@ -260,7 +260,7 @@
 
 @given(st.lists(st.tuples(st.integers(0, 400), st.integers(0, 900)), min_size=1))
 def test_the_time_is_a_lower_bound(answers):
-    time, now = StoreTime(), 0
+    time, now = StoreClock(), 0
     for pause, delay in answers:
         sent = now + pause
         now = sent + delay
--- a/tests/gateway/site_promises.py
+++ b/tests/gateway/site_promises.py
@@ -123,7 +123,7 @@
             self._note(gateway, f"sends to {endpoint}")
         entry = state.registry.entries.get(endpoint)
         key = (gateway, endpoint, self._written[endpoint][1])
-        if entry is not None and entry.born == key[2]:
+        if entry is not None and entry.started_at_ms == key[2]:
             self._seen.add(key)
         if entry is None or entry.leaving:
             if key in self._seen:
--- a/tests/gateway/test_gateways_that_are_cut_off.py
+++ b/tests/gateway/test_gateways_that_are_cut_off.py
@@ -28,7 +28,7 @@
     state.spread_endpoints()
     reach = Reach(state)
     for peer in ("p1", "p2"):
-        reach.isolation.heard(peer, time.at)
+        reach.isolation.record_message(peer, time.at)
     return reach
 
 
@@ -66,6 +66,6 @@
 def test_it_is_ready_again_when_peers_are_heard(reach, state, time):
     cut_off(reach, state, time)
     for peer in ("p1", "p2"):
-        reach.isolation.heard(peer, time.at)
+        reach.isolation.record_message(peer, time.at)
     reach._look()
     assert state.is_ready
--- a/tests/gateway/test_messages_fit_at_any_size.py
+++ b/tests/gateway/test_messages_fit_at_any_size.py
@@ -94,7 +94,7 @@
     made = Site(time, gateways, coordination_of(ranks, groups))
     state = made.state
     for known in (state.configuration_freshness, state.endpoints_freshness):
-        known.read_whole(era=1_000, version=10**9, store_ms=10**12)
+        known.record_full_read(era=1_000, version=10**9, store_ms=10**12)
     state.store_time.observe(10**12, time.at, time.at)
     loads = {endpoint_hash(f"busy-{n}"): 9 for n in range(ranks)}
     words = {
--- a/tests/gateway/test_news_is_put_in_force.py
+++ b/tests/gateway/test_news_is_put_in_force.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 from tests.gateway.store_world import StoreWorld
 
-from azurefold.core.membership.freshness import TableStatement
+from azurefold.core.membership.freshness import TableWatermark
 from azurefold.core.routes.model import AnswerKind
 from azurefold.core.routing.messages import Failed
 from azurefold.gateway.endpoints.connections import EndpointLinks
@@ -188,13 +188,15 @@
     news.endpoints._step()
     news.endpoints._step()
     known = state.endpoints_freshness
-    told = TableStatement(era=1, newest=4, as_of=9_100, answered_since=9_000)
-    assert known.statement == told
+    told = TableWatermark(
+        era=1, newest_version=4, confirmed_at=9_100, answered_since=9_000
+    )
+    assert known.watermark == told
     failing = state.services["desk"]
     monkeypatch.setattr(GatewayService, "set_endpoints", fail_for(failing))
     with pytest.raises(ExceptionGroup):
         news.endpoints._step()
-    assert known.statement == told
+    assert known.watermark == told
 
 
 def test_a_service_that_fails_keeps_no_other_from_its_endpoints(
@@ -283,7 +285,7 @@
     assert set(state.services["desk"].entries) == {"e1"}
     assert set(state.services["annex"].entries) == {"e2"}
     assert state.version == 9
-    assert state.configuration_freshness.statement.newest == 2
+    assert state.configuration_freshness.watermark.newest_version == 2
 
 
 @pytest.mark.parametrize("failure", FAILURES)
@@ -291,7 +293,7 @@
     """Guards against peers and operators being told of a version that failed."""
     failing_step(changing, monkeypatch, *failure)
     assert state.version == 7
-    assert state.configuration_freshness.statement.newest == 1
+    assert state.configuration_freshness.watermark.newest_version == 1
 
 
 @pytest.mark.parametrize("failure", FAILURES)
@@ -458,7 +460,7 @@
     except registries.BadEntryError:
         return
     assert entry.slots >= 1
-    assert isinstance(entry.born, int)
+    assert isinstance(entry.started_at_ms, int)
 
 
 def test_an_endpoint_that_started_again_is_a_new_one(news, state, time, monkeypatch):
@@ -549,7 +551,9 @@
     for _ in range(10):
         time.at += 600
         as_of = state.store_time.at(time.at)
-        news.merge_statements(None, TableStatement(era=1, newest=37, as_of=as_of))
+        news.merge_statements(
+            None, TableWatermark(era=1, newest_version=37, confirmed_at=as_of)
+        )
         news.tick(time.at)
     assert not looked
 
--- a/tests/gateway/test_promises_catch_mutants.py
+++ b/tests/gateway/test_promises_catch_mutants.py
@@ -7,7 +7,7 @@
 
 from azurefold.core.membership.freshness import TableFreshness
 from azurefold.core.membership.registry import EndpointRegistry
-from azurefold.core.membership.renewal import Renewal
+from azurefold.core.membership.table_refresh import RefreshScheduler
 from azurefold.gateway.state import GatewayState
 from azurefold.gateway.store.followers import TableFollower
 
@@ -22,7 +22,7 @@
 
 
 def never_aged(monkeypatch, _):
-    monkeypatch.setattr(Renewal, "_is_aged", lambda *_: False)
+    monkeypatch.setattr(RefreshScheduler, "_is_aged", lambda *_: False)
 
 
 def dated_by_arrival(monkeypatch, world):
@@ -41,7 +41,7 @@
         def mutant(self):
             answer = read(self)
             if getattr(answer, "store_ms", None) is not None:
-                self.freshness.read_changes(answer.version, None, answer.store_ms)
+                self.freshness.record_changes(answer.version, None, answer.store_ms)
             return answer
 
         return mutant
--- a/tests/gateway/test_promises_hold_at_all_sizes.py
+++ b/tests/gateway/test_promises_hold_at_all_sizes.py
@@ -6,9 +6,9 @@
 from tests.gateway.test_promises_hold_under_faults import play
 
 from azurefold.core.membership.freshness import TableFreshness
-from azurefold.core.membership.renewal import renewal_times
+from azurefold.core.membership.table_refresh import refresh_times
 
-TURN_MS = renewal_times(APPLY_MS).turn_ms
+TURN_MS = refresh_times(APPLY_MS).slot_ms
 EVENTS = [
     (("configure",), 100),
     (("silence", 600, None), 500),
--- a/tests/gateway/test_tables_are_followed.py
+++ b/tests/gateway/test_tables_are_followed.py
@@ -8,8 +8,8 @@
 from gevent.event import Event
 
 from azurefold.core.clock import manual_clock
-from azurefold.core.membership.freshness import TableFreshness, TableStatement
-from azurefold.core.membership.renewal import Renewal, RenewalReason
+from azurefold.core.membership.freshness import TableFreshness, TableWatermark
+from azurefold.core.membership.table_refresh import RefreshReason, RefreshScheduler
 from azurefold.gateway.store import followers
 from azurefold.gateway.store.followers import TableFollower
 from azurefold.internal.clock import monotonic_clock
@@ -116,7 +116,7 @@
     ]
     steps(follower, 4)
     assert seen[-1] == "doubt"
-    assert follower.freshness.position == 7
+    assert follower.freshness.applied_version == 7
     steps(follower, 1)
     assert seen[-1] == ("all", ())
 
@@ -140,7 +140,7 @@
     follower.set_store(store)
     store.script = [StoredRows((), 4, 1, 1_000), FeedChanges((), 5, 2, 1_100)]
     steps(follower, 1)
-    assert follower.freshness.statement.era == 1
+    assert follower.freshness.watermark.era == 1
     assert follower.store_time.at(follower.clock.now()) == 1_000
     steps(follower, 1)
     assert follower.version is None
@@ -377,15 +377,15 @@
 
 
 def test_being_behind_counts_only_after_a_while():
-    known = TableFreshness(era=1, position=5)
-    known.merge(TableStatement(era=1, newest=7, as_of=0))
-    renewal = Renewal(known)
-    assert renewal.reason(0, None, 0.0) is None
-    assert renewal.reason(499, None, 0.0) is None
-    assert renewal.reason(500, None, 0.0) is RenewalReason.BEHIND
-    assert renewal.reason(600, None, 0.0) is None
-    known.read_changes(7, 7, None)
-    assert renewal.reason(2_000, None, 0.0) is None
+    known = TableFreshness(era=1, applied_version=5)
+    known.merge(TableWatermark(era=1, newest_version=7, confirmed_at=0))
+    renewal = RefreshScheduler(known)
+    assert renewal.check(0, None, 0.0) is None
+    assert renewal.check(499, None, 0.0) is None
+    assert renewal.check(500, None, 0.0) is RefreshReason.BEHIND
+    assert renewal.check(600, None, 0.0) is None
+    known.record_changes(7, 7, None)
+    assert renewal.check(2_000, None, 0.0) is None
 
 
 @pytest.fixture
@@ -443,14 +443,14 @@
 
 
 def test_asking_in_vain_shows_by_the_version():
-    known = TableFreshness(era=1, position=5)
-    known.merge(TableStatement(era=1, newest=9, as_of=0))
-    renewal = Renewal(known)
-    assert renewal.reason(0, None, 0.0) is None
-    assert renewal.reason(1_000, None, 0.0) is RenewalReason.BEHIND
-    assert renewal.reason(2_000, None, 0.0) is RenewalReason.STILL_BEHIND
-    known.read_changes(7, 7, None)
-    assert renewal.reason(3_000, None, 0.0) is RenewalReason.BEHIND
+    known = TableFreshness(era=1, applied_version=5)
+    known.merge(TableWatermark(era=1, newest_version=9, confirmed_at=0))
+    renewal = RefreshScheduler(known)
+    assert renewal.check(0, None, 0.0) is None
+    assert renewal.check(1_000, None, 0.0) is RefreshReason.BEHIND
+    assert renewal.check(2_000, None, 0.0) is RefreshReason.STILL_BEHIND
+    known.record_changes(7, 7, None)
+    assert renewal.check(3_000, None, 0.0) is RefreshReason.BEHIND
 
 
 def test_who_was_turned_away_reads_what_is_newest_at_once(follower, store):
--- a/tests/wire/test_messages.py
+++ b/tests/wire/test_messages.py
@@ -6,7 +6,7 @@
 
 from azurefold.core.membership import messages as core
 from azurefold.core.membership.endpoints import Endpoint, Role, State
-from azurefold.core.membership.rumours import wire_size
+from azurefold.core.membership.gossip_queue import wire_size
 from azurefold.wire.messages import MalformedError, decode_message, encode_message
 
 HASHES = st.integers(0, 2**32 - 1)
