--- a/src/azurefold/core/membership/buckets.py
+++ b/src/azurefold/core/membership/buckets.py
@@ -1,4 +1,4 @@
-"""Digest of a directory in buckets, kept up to date at each change."""
+"""Digest of a directory, split into buckets and updated incrementally."""
 
 from azurefold.core.membership.endpoints import (
     Endpoint,
@@ -8,22 +8,22 @@
 )
 from azurefold.core.membership.messages import Summary, SummaryEntry
 
-__all__ = ["BUCKETS", "Buckets"]
+__all__ = ["BUCKET_COUNT", "Buckets"]
 
-BUCKETS = 16
+BUCKET_COUNT = 16
 
 
 class Buckets:
-    """The exclusive or of the fingerprints in each bucket.
+    """The exclusive or of the record fingerprints in each bucket.
 
-    Gone endpoints are left out: controls forget them at different times, and
-    would otherwise repair that difference for ever. A record that is gone here
-    and live there still differs, and its join settles it.
+    Gone endpoints are left out. Controls delete them at different times, so they would
+    otherwise repair that difference for ever. A record that is gone here and live on a
+    peer still differs, and joining the two resolves it.
     """
 
     def __init__(self) -> None:
-        self._members: list[dict[int, int]] = [{} for _ in range(BUCKETS)]
-        self._hashes = [0] * BUCKETS
+        self._members: list[dict[int, int]] = [{} for _ in range(BUCKET_COUNT)]
+        self._hashes = [0] * BUCKET_COUNT
 
     @property
     def hashes(self) -> tuple[int, ...]:
@@ -31,48 +31,52 @@
         return tuple(self._hashes)
 
     def put(self, record: Endpoint) -> None:
-        """Note that ``record`` is now held."""
+        """Add or replace a record; a gone one is removed."""
         self.remove(record.name)
         if record.state is State.GONE:
             return
-        hashed = name_hash(record.name)
-        printed = fingerprint(record)
-        self._members[hashed % BUCKETS][hashed] = printed
-        self._hashes[hashed % BUCKETS] ^= printed
+        hashed_name = name_hash(record.name)
+        record_fingerprint = fingerprint(record)
+        self._members[hashed_name % BUCKET_COUNT][hashed_name] = record_fingerprint
+        self._hashes[hashed_name % BUCKET_COUNT] ^= record_fingerprint
 
     def remove(self, name: str) -> None:
-        """Note that no live record of ``name`` is held."""
-        hashed = name_hash(name)
-        held = self._members[hashed % BUCKETS].pop(hashed, None)
-        if held is not None:
-            self._hashes[hashed % BUCKETS] ^= held
+        """Remove the record of ``name``, if there is one."""
+        hashed_name = name_hash(name)
+        removed = self._members[hashed_name % BUCKET_COUNT].pop(hashed_name, None)
+        if removed is not None:
+            self._hashes[hashed_name % BUCKET_COUNT] ^= removed
 
     def first_difference(self, hashes: tuple[int, ...], start: int) -> int | None:
         """Return the first bucket from ``start`` on that differs, or None."""
-        if len(hashes) != BUCKETS:
+        if len(hashes) != BUCKET_COUNT:
             return None
-        for step in range(BUCKETS):
-            bucket = (start + step) % BUCKETS
+        for step in range(BUCKET_COUNT):
+            bucket = (start + step) % BUCKET_COUNT
             if hashes[bucket] != self._hashes[bucket]:
                 return bucket
         return None
 
     def summary(self, bucket: int) -> Summary:
-        """Return what is held in ``bucket``."""
+        """Return the name hash and fingerprint of each record in ``bucket``."""
         members = self._members[bucket]
-        entries = tuple(SummaryEntry(h, printed) for h, printed in members.items())
+        entries = tuple(
+            SummaryEntry(hashed_name, record_fingerprint)
+            for hashed_name, record_fingerprint in members.items()
+        )
         return Summary(bucket, entries)
 
     def compare(self, summary: Summary) -> tuple[list[int], list[int]]:
-        """Return name hashes that a peer lacks or holds differently, and mine.
+        """Return the name hashes of the records that differ from a peer's.
 
         Returns
         -------
-        here, there : list of int
-            Live here, and live there, but not the same on the other side.
+        local, remote : list of int
+            Live here, and live at the peer, but missing or different on the other
+            side.
         """
         theirs = {entry.name: entry.fingerprint for entry in summary.entries}
-        mine = self._members[summary.bucket % BUCKETS]
-        here = [h for h, p in mine.items() if theirs.get(h) != p]
-        there = [h for h, p in theirs.items() if mine.get(h) != p]
-        return here, there
+        ours = self._members[summary.bucket % BUCKET_COUNT]
+        local = [name for name, value in ours.items() if theirs.get(name) != value]
+        remote = [name for name, value in theirs.items() if ours.get(name) != value]
+        return local, remote
--- a/src/azurefold/core/membership/controls.py
+++ b/src/azurefold/core/membership/controls.py
@@ -1,68 +1,70 @@
-"""The control processes of the data centre, as one of them sees them."""
+"""One control process's view of the control processes of its data centre."""
 
 from azurefold.core.clock import Millis
 from azurefold.core.membership.endpoints import Endpoint, Role, State
-from azurefold.core.membership.rendezvous import controls_digest, homes
+from azurefold.core.membership.rendezvous import controls_digest, select_owners
 
 __all__ = ["Controls"]
 
-_DORMANT_EVERY = 8
-_SETTLE_AFTER: Millis = 2_000
-_SETTLE_WITHIN: Millis = 10_000
+_DORMANT_INTERVAL = 8
+_PUBLISH_AFTER_MS: Millis = 2_000
+_PUBLISH_WITHIN_MS: Millis = 10_000
 
 
 class Controls:
     """Live and dormant peers of one control process.
 
+    A peer is dormant if its record exists and does not say that it serves.
+
     Parameters
     ----------
     own : str
         This control's datagram address.
     seeds : tuple of str
-        Addresses from the settings, asked while no peer is known and now and
-        then later on.
+        Addresses from the settings. They are contacted while no peer is known, and
+        occasionally afterwards.
     """
 
     def __init__(self, own: str, seeds: tuple[str, ...]) -> None:
         self._own = own
-        self._own_serves = True
+        self._is_own_serving = True
         self._seeds = tuple(seed for seed in seeds if seed != own)
         self._live: dict[str, str] = {}
         self._dormant: dict[str, str] = {}
-        self._turn = 0
+        self._pick_count = 0
         self._refresh()
-        self._settled = self._addresses
-        self._digest = controls_digest(self._settled)
+        self._published = self._addresses
+        self._digest = controls_digest(self._published)
         self._differs_since: Millis | None = None
-        self._quiet_since: Millis = 0
+        self._unchanged_since: Millis = 0
         self._pending = self._addresses
 
     @property
     def addresses(self) -> tuple[str, ...]:
-        """Datagram addresses of all live controls, this one among them."""
+        """Datagram addresses of all live controls, including this one."""
         return self._addresses
 
     @property
-    def settled(self) -> tuple[str, ...]:
-        """The list to tell endpoints; see :meth:`settle`."""
-        return self._settled
+    def published(self) -> tuple[str, ...]:
+        """The list to send to endpoints; see :meth:`publish_if_stable`."""
+        return self._published
 
     @property
     def digest(self) -> int:
-        """Digest of ``settled``, as endpoints give it in heartbeats."""
+        """Digest of ``published``, which endpoints repeat in their heartbeats."""
         return self._digest
 
     @property
     def peers(self) -> tuple[str, ...]:
-        """Addresses of the live controls but this one."""
+        """Addresses of the live controls, without this one."""
         return self._peers
 
-    def put(self, record: Endpoint) -> bool:
-        """Take a record; return whether the live controls have changed."""
+    def update(self, record: Endpoint) -> bool:
+        """Apply a record; return whether the set of live controls has changed."""
         if record.role is not Role.CONTROL:
             return False
         if record.udp_address == self._own:
-            return self._put_own(record)
+            return self._update_own(record)
         before = self._live.get(record.name)
         if record.state is State.SERVING:
             self._live[record.name] = record.udp_address
@@ -75,69 +77,69 @@
             self._refresh()
         return changed
 
-    def settle(self, now: Millis) -> None:
-        """Take the live controls into the list that endpoints are told.
+    def publish_if_stable(self, now: Millis) -> None:
+        """Publish the live controls once they have stopped changing.
 
-        In a cut or a rack's failure many controls go within seconds. Were each
-        step told, every endpoint would be sent the whole list, the largest of
-        all messages, with every heartbeat. So it waits until there was no
-        change for 2 s, though for 10 s at most.
+        In a network partition or a rack failure many controls disappear within
+        seconds. If each step were published, every heartbeat of every endpoint would
+        be answered with the full list, the largest of all messages. So a change is
+        published after 2 s without another one, and after 10 s at the latest.
         """
-        if self._addresses == self._settled:
+        if self._addresses == self._published:
             self._differs_since = None
             return
         if self._differs_since is None:
             self._differs_since = now
         if self._addresses != self._pending:
             self._pending = self._addresses
-            self._quiet_since = now
-        is_quiet = now - self._quiet_since >= _SETTLE_AFTER
-        if is_quiet or now - self._differs_since >= _SETTLE_WITHIN:
-            self._settled = self._addresses
-            self._digest = controls_digest(self._settled)
+            self._unchanged_since = now
+        is_stable = now - self._unchanged_since >= _PUBLISH_AFTER_MS
+        if is_stable or now - self._differs_since >= _PUBLISH_WITHIN_MS:
+            self._published = self._addresses
+            self._digest = controls_digest(self._published)
             self._differs_since = None
 
-    def _put_own(self, record: Endpoint) -> bool:
-        # A control that leaves has to drop itself, as its peers do: were the
-        # lists to differ, endpoints would be sent one or the other all along.
-        before = self._own_serves
-        self._own_serves = record.state is State.SERVING
+    def _update_own(self, record: Endpoint) -> bool:
+        # A leaving control must remove itself, as its peers do. With different lists
+        # the controls would keep sending endpoints one list or the other.
+        before = self._is_own_serving
+        self._is_own_serving = record.state is State.SERVING
         self._refresh()
-        return before != self._own_serves
+        return before != self._is_own_serving
 
     def forget(self, name: str) -> None:
-        """Forget a control that has been gone for long."""
+        """Delete a control whose tombstone has expired."""
         self._dormant.pop(name, None)
 
-    def homes(self, name: str, count: int) -> tuple[str, ...]:
+    def owners_of(self, name: str, count: int) -> tuple[str, ...]:
         """Return the live controls that the endpoint ``name`` reports to."""
-        return homes(name, self._addresses, count)
+        return select_owners(name, self._addresses, count)
 
-    def own_homes(self, name: str, count: int) -> tuple[str, ...]:
+    def owners_of_self(self, name: str, count: int) -> tuple[str, ...]:
         """Return the peers that this control itself reports to."""
-        return homes(name, self._peers, count)
+        return select_owners(name, self._peers, count)
 
-    def draw_live(self, draw: int) -> str | None:
-        """Return a live peer, chosen by a drawn number."""
+    def pick_live(self, draw: int) -> str | None:
+        """Return the live peer that a random number selects."""
         return self._peers[draw % len(self._peers)] if self._peers else None
 
-    def draw_any(self, draw: int) -> str | None:
-        """Return a live peer or, each eighth time, one taken for gone or a seed.
+    def pick_any(self, draw: int) -> str | None:
+        """Return a live peer or, every eighth time, a dormant one or a seed.
 
-        Each side of a healed network partition takes the other for gone. If
-        nobody wrote to the gone, the two would never meet again.
+        After a network partition each side considers the other one gone. If nothing
+        were sent to dormant peers, the two sides would never reconnect.
         """
-        self._turn += 1
-        others = self._others()
-        if others and (not self._peers or self._turn % _DORMANT_EVERY == 0):
-            return others[draw % len(others)]
-        return self.draw_live(draw)
+        self._pick_count += 1
+        dormant = self._dormant_addresses()
+        if dormant and (not self._peers or self._pick_count % _DORMANT_INTERVAL == 0):
+            return dormant[draw % len(dormant)]
+        return self.pick_live(draw)
 
-    def _others(self) -> list[str]:
+    def _dormant_addresses(self) -> list[str]:
         known = {*self._seeds, *self._dormant.values()}
         return sorted(known.difference(self._peers))
 
     def _refresh(self) -> None:
         self._peers = tuple(sorted(set(self._live.values())))
-        own = {self._own} if self._own_serves else set()
+        own = {self._own} if self._is_own_serving else set()
         self._addresses = tuple(sorted(own.union(self._peers)))
--- a/src/azurefold/core/membership/directory.py
+++ b/src/azurefold/core/membership/directory.py
@@ -1,8 +1,8 @@
-"""A control process's view of its data centre: who serves, who leaves.
+"""A control process's view of the endpoints and controls of its data centre.
 
-Pure: messages and the time come in, typed messages to send go out. The parts
-it puts together each have a module: records and their join, watches over
-silence, rumours and their budget, buckets for repair.
+The directory does no input or output: it takes messages and the time as arguments and
+returns the messages to send. Its parts are in modules of their own: records and their
+join, failure detection, gossip with its rate limit, and buckets for anti-entropy.
 """
 
 from collections.abc import Iterable
@@ -11,10 +11,10 @@
 from azurefold.core.clock import Millis
 from azurefold.core.membership.controls import Controls
 from azurefold.core.membership.endpoints import Endpoint, State, join
-from azurefold.core.membership.failure_detector import Watches
+from azurefold.core.membership.failure_detector import FailureDetector
 from azurefold.core.membership.gossip import Gossip
 from azurefold.core.membership.messages import (
-    NO_LIST,
+    SKIP_CONTROL_LIST,
     Announcement,
     Changes,
     Digest,
@@ -29,8 +29,8 @@
     Timing,
     Want,
 )
-from azurefold.core.membership.ownership import Responsibility
-from azurefold.core.membership.snapshot import Shown, show
+from azurefold.core.membership.ownership import OwnershipTracker
+from azurefold.core.membership.snapshot import SnapshotEntry, build_snapshot
 from azurefold.core.membership.tombstones import Tombstones
 from azurefold.core.membership.vm_list import ListedVm, VmList, record_from_vm
 
@@ -38,7 +38,7 @@
 
 
 class Directory:
-    """All records that one control process holds.
+    """All records of one control process.
 
     Parameters
     ----------
@@ -65,19 +65,19 @@
         self._loads: dict[str, int] = {}
         self._revision = 0
         self._controls = Controls(own.udp_address, seeds)
-        self._watches = Watches(self._timing, now)
-        self._responsibility = Responsibility(
-            own, self._controls, self._watches, self._timing.homes
+        self._failure_detector = FailureDetector(self._timing, now)
+        self._ownership = OwnershipTracker(
+            own, self._controls, self._failure_detector, self._timing.owner_count
         )
         self._gossip = Gossip(self._records, self._controls, self._timing, now)
         self._vm_list = VmList()
-        self._tombstones = Tombstones(self._timing.forget_after)
-        self._heartbeat_at = now
+        self._tombstones = Tombstones(self._timing.forget_after_ms)
+        self._next_heartbeat_at = now
         self._merge(own, now)
 
     @property
     def revision(self) -> int:
-        """Rises with each change that a snapshot would show."""
+        """Number that increases with each change of the records or the snapshot."""
         return self._revision
 
     @property
@@ -87,30 +87,30 @@
 
     @property
     def control_addresses(self) -> tuple[str, ...]:
-        """Datagram addresses of all live controls, this one among them."""
+        """Datagram addresses of all live controls, including this one."""
         return self._controls.addresses
 
     def record(self, name: str) -> Endpoint | None:
-        """Return what is known of ``name``, or None."""
+        """Return the record of ``name``, or None."""
         return self._records.get(name)
 
     def records(self) -> tuple[Endpoint, ...]:
-        """Return all records, for a control that starts."""
+        """Return all records, for instance for a control that starts."""
         return tuple(self._records.values())
 
-    def snapshot(self) -> tuple[Shown, ...]:
-        """Return all endpoints as the entry process should take them."""
-        return show(self._records.values(), self._vm_list, self._loads)
+    def snapshot(self) -> tuple[SnapshotEntry, ...]:
+        """Return all endpoints with their effective states."""
+        return build_snapshot(self._records.values(), self._vm_list, self._loads)
 
     def update_vms(self, vms: Iterable[ListedVm], now: Millis) -> None:
-        """Take a newly read list of VMs; see :mod:`.vm_list`."""
-        before = {shown.record.name: shown.state for shown in self.snapshot()}
+        """Apply a newly read list of VMs; see :mod:`.vm_list`."""
+        before = {entry.record.name: entry.state for entry in self.snapshot()}
         listed = tuple(vms)
         self._vm_list.replace(listed)
         for vm in listed:
             if vm.name not in self._records and not vm.leaving:
                 self._merge(record_from_vm(vm), now)
-        after = {shown.record.name: shown.state for shown in self.snapshot()}
+        after = {entry.record.name: entry.state for entry in self.snapshot()}
         self._revision += before != after
 
     def leave(self, now: Millis) -> None:
@@ -120,25 +120,25 @@
         self._merge(changed, now)
 
     def merge(self, records: Iterable[Endpoint], now: Millis) -> None:
-        """Take records from a snapshot of another control."""
-        # Each new control has all responsibilities worked out anew, which is
-        # cheap only as long as there are few other records.
+        """Merge records from a snapshot of another control."""
+        # Controls come first: each new one recomputes the ownership of all records,
+        # which is cheap only while there are few of them.
         for record in sorted(records, key=lambda record: -record.role):
             self._merge(record, now)
-            # The others have it already; what they lack, repair will find.
+            # Other controls already have it; anti-entropy repairs what they lack.
             if record.name != self._own_name:
-                self._gossip.keep_quiet(record.name)
+                self._gossip.cancel_update(record.name)
 
     def receive(self, message: Message, source: Source, now: Millis) -> list[Send]:
-        """Take one message whose seal was good; return what to send."""
-        self._hear(source, now)
+        """Process one authenticated message; return the messages to send."""
+        self._record_message(source, now)
         match message:
             case Heartbeat():
                 return self._on_heartbeat(message, source, now)
             case Announcement():
                 return self._on_announcement(message, source, now)
             case Records():
-                return self._take_all(message.records, source, now)
+                return self._merge_all(message.records, source, now)
             case Changes():
                 return self._on_changes(message, source, now)
             case Digest():
@@ -153,48 +153,58 @@
                 return []
 
     def tick(self, now: Millis, draw: int) -> list[Send]:
-        """Do what is due; call it each ``Timing.rumour`` ms.
+        """Return the messages that are due; call it every ``update_interval_ms``.
 
         Parameters
         ----------
         now : int
             The present time in milliseconds.
         draw : int
-            A freshly drawn number, not negative, that chooses the peer.
+            A new random number, not negative, that selects the peer.
         """
-        self._controls.settle(now)
-        sends = self._expire(now)
-        if now >= self._heartbeat_at:
-            self._heartbeat_at = now + self._timing.heartbeat
-            sends += self._own_heartbeats()
-            self._forget_gone(now)
+        self._controls.publish_if_stable(now)
+        sends = self._check_silence(now)
+        if now >= self._next_heartbeat_at:
+            self._next_heartbeat_at = now + self._timing.heartbeat_interval_ms
+            sends += self._send_own_heartbeats()
+            self._forget_expired(now)
         return sends + self._gossip.tick(now, draw)
 
-    def _hear(self, source: Source, now: Millis) -> None:
+    def _record_message(self, source: Source, now: Millis) -> None:
         known = self._records.get(source.name)
         if known is None or source.incarnation != known.incarnation:
             return
-        self._watches.hear(source.name, now)
+        self._failure_detector.record_message(source.name, now)
         if known.is_silent:
             self._merge(replace(known, silence=known.silence + 1), now)
 
-    def _on_heartbeat(self, beat: Heartbeat, source: Source, now: Millis) -> list[Send]:
+    def _on_heartbeat(
+        self, heartbeat: Heartbeat, source: Source, now: Millis
+    ) -> list[Send]:
         known = self._records.get(source.name)
-        current = known is not None and known.incarnation >= source.incarnation
-        if current and known.incarnation == source.incarnation:
-            self._loads[source.name] = beat.load
-            self._take_version(known, beat, now)
-        stale_list = beat.controls not in (NO_LIST, self._controls.digest)
-        if current and not stale_list and not beat.reply_wanted:
+        is_known = known is not None and known.incarnation >= source.incarnation
+        if is_known and known.incarnation == source.incarnation:
+            self._loads[source.name] = heartbeat.load
+            self._apply_heartbeat(known, heartbeat, now)
+        is_list_stale = heartbeat.controls not in (
+            SKIP_CONTROL_LIST,
+            self._controls.digest,
+        )
+        if is_known and not is_list_stale and not heartbeat.reply_wanted:
             return []
-        controls = self._controls.settled if stale_list else ()
-        return [Send(source.origin, Reply(controls, not current))]
+        controls = self._controls.published if is_list_stale else ()
+        return [Send(source.origin, Reply(controls, not is_known))]
 
-    def _take_version(self, known: Endpoint, beat: Heartbeat, now: Millis) -> None:
-        if beat.version <= known.version:
+    def _apply_heartbeat(
+        self, known: Endpoint, heartbeat: Heartbeat, now: Millis
+    ) -> None:
+        if heartbeat.version <= known.version:
             return
         changed = replace(
-            known, version=beat.version, announced=beat.announced, load=beat.load
+            known,
+            version=heartbeat.version,
+            announced=heartbeat.announced,
+            load=heartbeat.load,
         )
         self._merge(changed, now)
 
@@ -202,22 +212,22 @@
         self, message: Announcement, source: Source, now: Millis
     ) -> list[Send]:
         record = message.record
-        # Each endpoint may speak for itself only, in its sealed incarnation.
+        # An endpoint may only announce itself, in its authenticated incarnation.
         if (record.name, record.incarnation) != (source.name, source.incarnation):
             return []
         self._merge(record, now)
-        self._hear(source, now)
+        self._record_message(source, now)
         self._loads[record.name] = record.load
-        if message.controls in (NO_LIST, self._controls.digest):
+        if message.controls in (SKIP_CONTROL_LIST, self._controls.digest):
             return []
-        return [Send(source.origin, Reply(self._controls.settled))]
+        return [Send(source.origin, Reply(self._controls.published))]
 
     def _on_changes(self, message: Changes, source: Source, now: Millis) -> list[Send]:
-        records, unknown = self._gossip.read(message)
-        asked = self._gossip.ask_for(unknown, source.origin, now)
-        return asked + self._take_all(records, source, now)
+        records, unknown = self._gossip.apply_changes(message)
+        requests = self._gossip.request_records(unknown, source.origin, now)
+        return requests + self._merge_all(records, source, now)
 
-    def _take_all(
+    def _merge_all(
         self, records: Iterable[Endpoint], source: Source, now: Millis
     ) -> list[Send]:
         newer = []
@@ -227,7 +237,7 @@
             if held is not None and held != record:
                 newer.append(held)
             elif held == before:
-                self._gossip.heard_again(record.name)
+                self._gossip.record_duplicate(record.name)
         return self._gossip.send_changes(newer, source.origin, now)
 
     def _merge(self, record: Endpoint, now: Millis) -> Endpoint | None:
@@ -236,65 +246,69 @@
             return None
         joined = record if known is None else join(known, record)
         if record.name == self._own_name:
-            joined = self._refute_own(known, joined)
-        elif joined.is_silent and self._has_evidence(joined, known, now):
+            joined = self._keep_own_record(known, joined)
+        elif joined.is_silent and self._has_recent_message(joined, known, now):
             joined = replace(joined, silence=joined.silence + 1)
         if joined == known:
             return joined
         if known is not None:
-            self._note_silence(known, joined, now)
-        self._put(joined, now)
+            self._update_failure_detector(known, joined, now)
+        self._store(joined, now)
         return joined
 
-    def _refute_own(self, known: Endpoint | None, joined: Endpoint) -> Endpoint:
+    def _keep_own_record(self, known: Endpoint | None, joined: Endpoint) -> Endpoint:
         if known is not None and joined.incarnation != known.incarnation:
-            # Another process uses this name. Its seals have already made this
-            # one's stale elsewhere; this one keeps its own record.
+            # Another process uses the same name in another incarnation. Peers already
+            # reject this process's messages as stale; it keeps its own record.
             return known
         if joined.is_silent:
             return replace(joined, silence=joined.silence + 1)
         return joined
 
-    def _has_evidence(self, new: Endpoint, old: Endpoint | None, now: Millis) -> bool:
+    def _has_recent_message(
+        self, new: Endpoint, old: Endpoint | None, now: Millis
+    ) -> bool:
         if old is None or old.incarnation != new.incarnation:
             return False
-        return self._watches.heard_lately(new.name, now)
+        return self._failure_detector.has_recent_message(new.name, now)
 
-    def _note_silence(self, old: Endpoint, new: Endpoint, now: Millis) -> None:
-        name, revived = new.name, old.is_silent and not new.is_silent
+    def _update_failure_detector(
+        self, old: Endpoint, new: Endpoint, now: Millis
+    ) -> None:
+        name, is_revived = new.name, old.is_silent and not new.is_silent
         if new.incarnation != old.incarnation:
-            self._watches.forget(name)
+            self._failure_detector.forget(name)
             self._loads.pop(name, None)
-        elif revived and not self._watches.heard_lately(name, now):
-            self._watches.others_hear(name)
+        elif is_revived and not self._failure_detector.has_recent_message(name, now):
+            self._failure_detector.double_timeout(name)
 
-    def _put(self, joined: Endpoint, now: Millis) -> None:
+    def _store(self, joined: Endpoint, now: Millis) -> None:
         self._records[joined.name] = joined
-        self._gossip.spread(joined)
+        self._gossip.enqueue(joined)
         self._revision += 1
-        self._tombstones.note(joined, now)
-        self._responsibility.take(joined, self._records.values(), now)
+        self._tombstones.update(joined, now)
+        self._ownership.update(joined, self._records.values(), now)
 
-    def _expire(self, now: Millis) -> list[Send]:
-        due = self._watches.due(now, self._vm_list.dropped)
-        for name in due.expired:
+    def _check_silence(self, now: Millis) -> list[Send]:
+        silent = self._failure_detector.check(now, self._vm_list.dropped)
+        for name in silent.expired:
             record = self._records[name]
             if not record.is_silent:
                 self._merge(replace(record, silence=record.silence + 1), now)
-        probed = (self._records[name] for name in due.probe)
+        probed = (self._records[name] for name in silent.to_probe)
         return [Send(record.udp_address, Probe()) for record in probed]
 
-    def _own_heartbeats(self) -> list[Send]:
+    def _send_own_heartbeats(self) -> list[Send]:
         own = self.own
-        beat = Heartbeat(own.version, own.announced, own.load, NO_LIST)
-        homes = self._controls.own_homes(own.name, self._timing.homes)
-        return [Send(home, beat) for home in homes]
+        heartbeat = Heartbeat(own.version, own.announced, own.load, SKIP_CONTROL_LIST)
+        owners = self._controls.owners_of_self(own.name, self._timing.owner_count)
+        return [Send(owner, heartbeat) for owner in owners]
 
-    def _forget_gone(self, now: Millis) -> None:
-        for name in self._tombstones.take_due(now):
+    def _forget_expired(self, now: Millis) -> None:
+        for name in self._tombstones.pop_expired(now):
             del self._records[name]
             self._loads.pop(name, None)
-            self._watches.forget(name)
+            self._failure_detector.forget(name)
             self._gossip.forget(name)
             self._controls.forget(name)
             self._vm_list.forget(name)
--- a/src/azurefold/core/membership/endpoint_entry.py
+++ b/src/azurefold/core/membership/endpoint_entry.py
@@ -1,4 +1,4 @@
-"""Endpoints as they register themselves in a store."""
+"""Entries that endpoints write into a store to register themselves."""
 
 from dataclasses import dataclass
 
@@ -12,16 +12,16 @@
     Parameters
     ----------
     name : str
-        A restarted endpoint may have another one, or the same.
+        A restarted endpoint may keep its name or register under a new one.
     service, address, data_centre : str
         The address is ``"ip:port"``.
     slots : int
-        Requests that it runs at a time.
+        Number of requests that it processes concurrently.
     leaving : bool
-        Whether it takes no new work.
+        Whether it accepts no new work.
     started_at_ms : int
-        When it started, in Unix milliseconds; 0 if it does not say. Tells its starts
-        apart where it keeps its name.
+        Start of the process in Unix milliseconds; 0 if it is not given. Distinguishes
+        restarts of an endpoint that keeps its name.
     """
 
     name: str
--- a/src/azurefold/core/membership/endpoints.py
+++ b/src/azurefold/core/membership/endpoints.py
@@ -1,9 +1,9 @@
-"""The record of one endpoint, and how two records of it are joined.
+"""The record of one endpoint, and the join of two records.
 
-Records reach a control process late, doubled and out of order, by several
-ways. So they form a join-semilattice: :func:`join` is commutative, associative
-and idempotent, and all controls that have heard the same records, in whatever
-order, hold the same one.
+Records reach a control process delayed, duplicated and out of order, over several
+paths. So they form a join-semilattice: :func:`join` is commutative, associative and
+idempotent. All controls that have received the same records, in any order, hold the
+same result.
 """
 
 import hashlib
@@ -17,7 +17,7 @@
 
 
 class State(IntEnum):
-    """What an endpoint may be given; only ``SERVING`` takes new work."""
+    """State of an endpoint; only a ``SERVING`` one accepts new work."""
 
     JOINING = 0
     SERVING = 1
@@ -26,7 +26,7 @@
 
 
 class Role(IntEnum):
-    """Who reports itself; a control process has a record like an endpoint's."""
+    """Kind of process; control processes have records like those of endpoints."""
 
     ENDPOINT = 0
     CONTROL = 1
@@ -34,38 +34,38 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """What is known of one endpoint.
+    """The record of one endpoint or control process.
 
     Parameters
     ----------
     name : str
         Unique in the data centre.
     incarnation : int
-        Greater in each life of the process. 0 stands for an endpoint that only
-        the list of VMs has named.
+        Increases with each start of the process. 0 if the endpoint is known only from
+        the list of VMs.
     address : str
-        IP number and TCP port that work or orders go to.
+        IP address and TCP port for requests or orders.
     udp_port : int
-        Port for datagrams on the same IP number.
+        Port for datagrams on the same IP address.
     role : Role
         Endpoint or control process.
     service : str
-        The service it belongs to.
+        The service that it belongs to.
     rank : int
         Its rank in the service's group, or ``NO_RANK``.
     version : int
-        Raised by the endpoint itself with each change that it announces.
+        Incremented by the endpoint itself with each change that it announces.
     announced : State
-        What it said of itself in ``version``.
+        The state that it announced in ``version``.
     load : int
         Load when ``version`` was announced, in hundredths of its capacity.
     departing : bool
-        Whether it ever announced leaving in this incarnation.
+        Whether it has announced leaving in this incarnation.
     silence : int
-        Odd while control processes take it for dead. Raised by one by the
-        control that misses its heartbeats, and by the one that hears it again.
+        Odd while control processes consider it failed. Incremented by the control that
+        misses its heartbeats, and by the one that receives a message from it again.
     orders_port : int
-        Port for gRPC on the same IP number; 0 where none is served.
+        Port for gRPC on the same IP address; 0 if it serves none.
     """
 
     name: str
@@ -84,12 +84,12 @@
 
     @property
     def is_silent(self) -> bool:
-        """Whether control processes take it for dead."""
+        """Whether control processes consider it failed."""
         return self.silence % 2 == 1
 
     @property
     def state(self) -> State:
-        """What it is to be taken for.
+        """Effective state.
 
         Examples
         --------
@@ -107,47 +107,50 @@
 
     @property
     def udp_address(self) -> str:
-        """IP number and port for datagrams."""
+        """IP address and port for datagrams."""
         host = self.address.rpartition(":")[0]
         return f"{host}:{self.udp_port}"
 
     @property
     def orders_address(self) -> str | None:
-        """IP number and port for gRPC, None where none is served."""
+        """IP address and port for gRPC, None if it serves none."""
         if not self.orders_port:
             return None
         host = self.address.rpartition(":")[0]
         return f"{host}:{self.orders_port}"
 
 
-def join(one: Endpoint, other: Endpoint) -> Endpoint:
-    """Return the least record that is at least both of two of one endpoint.
+def join(first: Endpoint, second: Endpoint) -> Endpoint:
+    """Return the least upper bound of two records of one endpoint.
 
-    The higher incarnation wins as a whole. Within one, the higher version
-    gives what was announced, whereas ``departing`` and ``silence`` only rise:
-    were leaving part of the version alone, a late or misdated ``SERVING``
-    would bring new work to an endpoint that refuses it.
+    The record of the higher incarnation wins as a whole. Within an incarnation the
+    higher version determines what was announced, but ``departing`` and ``silence`` only
+    ever increase. If leaving depended on the version alone, a delayed or misdated
+    ``SERVING`` would send new work to an endpoint that refuses it.
 
     Raises
     ------
     ValueError
-        If the records are of two endpoints.
+        If the records belong to different endpoints.
     """
-    if one.name != other.name:
-        raise ValueError(f"records of {one.name} and {other.name} cannot be joined")
-    if one.incarnation != other.incarnation:
-        return max(one, other, key=lambda record: record.incarnation)
-    newest = max(one, other, key=_announcement)
-    leaving = max(one.announced, other.announced) >= State.LEAVING
+    if first.name != second.name:
+        raise ValueError(
+            f"records of {first.name} and {second.name} cannot be joined: "
+            "they belong to different endpoints"
+        )
+    if first.incarnation != second.incarnation:
+        return max(first, second, key=lambda record: record.incarnation)
+    newest = max(first, second, key=_announcement_key)
+    is_leaving = max(first.announced, second.announced) >= State.LEAVING
     return replace(
         newest,
-        departing=one.departing or other.departing or leaving,
-        silence=max(one.silence, other.silence),
+        departing=first.departing or second.departing or is_leaving,
+        silence=max(first.silence, second.silence),
     )
 
 
-def _announcement(record: Endpoint) -> tuple:
-    # The fields after the version only make the choice the same everywhere.
+def _announcement_key(record: Endpoint) -> tuple:
+    # The fields after the version are tie-breakers that make the result deterministic.
     return (
         record.version,
         record.announced,
@@ -162,17 +165,17 @@
 
 
 def name_hash(name: str) -> int:
-    """Return a 32-bit hash of a name, the same in every process."""
+    """Return a 32-bit hash of a name that is the same in every process."""
     digest = hashlib.blake2b(name.encode(), digest_size=_FINGERPRINT_BYTES).digest()
     return int.from_bytes(digest)
 
 
 def fingerprint(record: Endpoint) -> int:
-    """Return a 32-bit hash of a record, the same in every process."""
-    return name_hash(repr((record.name, record.incarnation, *_mutable(record))))
+    """Return a 32-bit hash of a record that is the same in every process."""
+    return name_hash(repr((record.name, record.incarnation, *_mutable_fields(record))))
 
 
-def _mutable(record: Endpoint) -> tuple:
+def _mutable_fields(record: Endpoint) -> tuple:
     return (
         record.version,
         int(record.announced),
--- a/src/azurefold/core/membership/failure_detector.py
+++ b/src/azurefold/core/membership/failure_detector.py
@@ -1,4 +1,4 @@
-"""Who has been heard when, and who has been silent for too long."""
+"""Failure detection: which endpoints to probe and which to declare gone."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -6,116 +6,118 @@
 from azurefold.core.clock import Millis
 from azurefold.core.membership.messages import Timing
 
-__all__ = ["Due", "Watches"]
+__all__ = ["FailureDetector", "SilentEndpoints"]
 
-_MAX_PATIENCE = 8
+_MAX_TIMEOUT_FACTOR = 8
 
 
 @dataclass(frozen=True, slots=True)
-class Due:
-    """Names to probe and names to declare gone."""
+class SilentEndpoints:
+    """Names of silent endpoints: those to probe and those to declare gone."""
 
-    probe: tuple[str, ...]
+    to_probe: tuple[str, ...]
     expired: tuple[str, ...]
 
 
 @dataclass(slots=True)
 class _Watch:
-    since: Millis
+    silent_since: Millis
     probed_at: Millis
 
 
-class Watches:
-    """Silence of the endpoints that this control is responsible for."""
+class FailureDetector:
+    """Timeouts of the endpoints that this control owns."""
 
     def __init__(self, timing: Timing, now: Millis) -> None:
         self._timing = timing
-        self._heard: dict[str, Millis] = {}
+        self._last_message_at: dict[str, Millis] = {}
         self._watched: dict[str, _Watch] = {}
-        self._patience: dict[str, int] = {}
-        self._ticked_at = now
+        self._timeout_factors: dict[str, int] = {}
+        self._last_check_at = now
 
-    def hear(self, name: str, now: Millis) -> None:
-        """Note a heartbeat, or any other datagram, of ``name``."""
-        self._heard[name] = now
-        self._patience.pop(name, None)
+    def record_message(self, name: str, now: Millis) -> None:
+        """Record a heartbeat or any other datagram from ``name``."""
+        self._last_message_at[name] = now
+        self._timeout_factors.pop(name, None)
         watch = self._watched.get(name)
         if watch is not None:
-            watch.since = now
+            watch.silent_since = now
 
-    def heard_lately(self, name: str, now: Millis) -> bool:
-        """Return whether this control has evidence that ``name`` lives."""
-        heard = self._heard.get(name)
-        return heard is not None and now - heard < self._timing.probe_after
+    def has_recent_message(self, name: str, now: Millis) -> bool:
+        """Return whether this control recently received a message from ``name``."""
+        received_at = self._last_message_at.get(name)
+        return (
+            received_at is not None and now - received_at < self._timing.probe_after_ms
+        )
 
     def forget(self, name: str) -> None:
-        """Drop all that is known of ``name``, as for a new incarnation."""
-        self._heard.pop(name, None)
+        """Delete all state of ``name``, for instance for a new incarnation."""
+        self._last_message_at.pop(name, None)
         self._watched.pop(name, None)
-        self._patience.pop(name, None)
+        self._timeout_factors.pop(name, None)
 
-    def others_hear(self, name: str) -> None:
-        """Note that another control heard what this one took for silent.
+    def double_timeout(self, name: str) -> None:
+        """Double the timeout of an endpoint that another control still receives from.
 
-        If only the way from the endpoint to this control is broken, each of
-        its declarations is refuted by the endpoint's other home. Without more
-        patience every time, the endpoint would come and go every few seconds.
+        If only the path from the endpoint to this control is broken, the endpoint's
+        other owner refutes each declaration of this control. With a constant timeout,
+        the endpoint would be removed and added again every few seconds.
         """
-        patience = self._patience.get(name, 1)
-        self._patience[name] = min(2 * patience, _MAX_PATIENCE)
+        factor = self._timeout_factors.get(name, 1)
+        self._timeout_factors[name] = min(2 * factor, _MAX_TIMEOUT_FACTOR)
 
-    def watch_only(self, names: Iterable[str], now: Millis) -> None:
-        """Be responsible for ``names``; the new ones get the whole term."""
+    def set_watched(self, names: Iterable[str], now: Millis) -> None:
+        """Watch exactly ``names``; newly watched ones get the full timeout."""
         watched = {}
         for name in names:
             watched[name] = self._watched.get(name) or _Watch(now, now)
         self._watched = watched
 
     def watch(self, name: str, now: Millis) -> None:
-        """Be responsible for ``name`` as well."""
+        """Watch ``name`` too."""
         self._watched.setdefault(name, _Watch(now, now))
 
     def unwatch(self, name: str) -> None:
-        """Be no longer responsible for ``name``."""
+        """Stop watching ``name``."""
         self._watched.pop(name, None)
 
-    def due(self, now: Millis, unlisted: frozenset[str]) -> Due:
-        """Return who is to be probed and who has expired.
+    def check(self, now: Millis, unlisted: frozenset[str]) -> SilentEndpoints:
+        """Return the endpoints to probe and those whose timeout has passed.
 
         Parameters
         ----------
         now : int
             The present time in milliseconds.
         unlisted : frozenset of str
-            Names that the list of VMs has dropped; one probe without an
-            answer is enough for them.
+            Names that are no longer in the list of VMs. They are declared gone after
+            one unanswered probe.
         """
-        self._excuse_own_pause(now)
-        probe, expired = [], []
+        self._restart_timeouts_after_pause(now)
+        to_probe, expired = [], []
         for name, watch in self._watched.items():
-            silent_for = now - watch.since
-            if silent_for >= self._term(name, unlisted):
+            silent_for = now - watch.silent_since
+            if silent_for >= self._timeout_ms(name, unlisted):
                 expired.append(name)
             elif self._is_probe_due(watch, silent_for, now):
                 watch.probed_at = now
-                probe.append(name)
-        return Due(tuple(probe), tuple(expired))
+                to_probe.append(name)
+        return SilentEndpoints(tuple(to_probe), tuple(expired))
 
-    def _term(self, name: str, unlisted: frozenset[str]) -> Millis:
+    def _timeout_ms(self, name: str, unlisted: frozenset[str]) -> Millis:
         if name in unlisted:
-            return self._timing.probe_after + self._timing.probe_every
-        return self._timing.expiry * self._patience.get(name, 1)
+            return self._timing.probe_after_ms + self._timing.probe_interval_ms
+        return self._timing.expire_after_ms * self._timeout_factors.get(name, 1)
 
     def _is_probe_due(self, watch: _Watch, silent_for: Millis, now: Millis) -> bool:
-        if silent_for < self._timing.probe_after:
+        if silent_for < self._timing.probe_after_ms:
             return False
-        return now - watch.probed_at >= self._timing.probe_every
+        return now - watch.probed_at >= self._timing.probe_interval_ms
 
-    def _excuse_own_pause(self, now: Millis) -> None:
-        # A control that was paused finds all its endpoints silent when it
-        # wakes, though it was itself that did not listen: it would declare a
-        # tenth of the data centre gone. They get the whole term again.
-        if now - self._ticked_at >= self._timing.probe_after:
+    def _restart_timeouts_after_pause(self, now: Millis) -> None:
+        # After a pause of this process all its endpoints look silent, because it
+        # received nothing itself. Without new timeouts it would declare all of them
+        # gone, a tenth of the data centre.
+        if now - self._last_check_at >= self._timing.probe_after_ms:
             for watch in self._watched.values():
-                watch.since = now
-        self._ticked_at = now
+                watch.silent_since = now
+        self._last_check_at = now
--- a/src/azurefold/core/membership/freshness.py
+++ b/src/azurefold/core/membership/freshness.py
@@ -1,9 +1,9 @@
-"""What a process knows of one table of the store, and as of when.
+"""Freshness of a process's local copy of one table of the store.
 
-A feed that tells nothing does not show that there is nothing to tell: its answer may
-have been lost on a connection that stays open. Knowledge of a table therefore ages
-until there is evidence: an answer of the store, or another process's statement that
-nothing newer than what is known here had been written at some moment.
+A feed that delivers nothing does not prove that nothing has changed: its answer may
+have been lost on a connection that stays open. The local copy therefore ages until it
+is confirmed, either by an answer of the store or by another process's watermark, which
+shows that nothing newer than the local copy had been written at some moment.
 """
 
 from dataclasses import dataclass
@@ -12,33 +12,33 @@
 
 __all__ = ["TableFreshness", "TableWatermark"]
 
-_AHEAD_MS: Millis = 1_000
-"""By which a date may be later than the store's time as a process knows it, a lower
-bound. One that is further ahead is from before the store's clock started anew."""
+_MAX_AHEAD_MS: Millis = 1_000
+"""How far a watermark may be ahead of this process's lower bound of the store's time.
+One that is further ahead was taken before the store's clock restarted."""
 
-_RECENT_MS: Millis = 2_500
-"""Who is answered has evidence that is younger."""
+_MAX_WATERMARK_AGE_MS: Millis = 2_500
+"""A process that the store answers has a more recent confirmation than this."""
 
 
 @dataclass(frozen=True, slots=True)
 class TableWatermark:
-    """Nothing in a table was newer than a version at some moment.
+    """Statement that a table had no change newer than a version at some moment.
 
     Parameters
     ----------
     era : int
-        Of the store; 0 if it tells none.
+        Era of the store; 0 if the store reports none.
     newest_version : int
         Version of the table's newest change, or a later one.
     confirmed_at : int
         The moment, in milliseconds of the store's time.
     is_exact : bool
-        Whether ``newest_version`` is the version of a change. Where a whole table was
-        read it is that of the read, as no row shows that another one was removed
-        before.
+        Whether ``newest_version`` is the version of a change. After a read of the whole
+        table it is the version of the read, because a removed row leaves no trace in
+        the rows.
     answered_since : int or None
         Store's time since which all of the process's own calls were answered; None if
-        the last one was not.
+        the last call failed.
     """
 
     era: int
@@ -50,20 +50,20 @@
 
 @dataclass(slots=True)
 class TableFreshness:
-    """Up to which version a table is in force here, and as of when that was all.
+    """Version of a table that is applied here, and when it was last confirmed.
 
     Parameters
     ----------
     era : int
-        Of the store; 0 if it tells none.
+        Era of the store; 0 if the store reports none.
     applied_version : int
-        Version up to which all changes are in force here.
+        Version up to which all changes are applied here.
     newest_version : int
         Version of the newest change, or a later one.
     confirmed_at : int or None
-        Store's time as of which there was nothing else; None if that isn't known.
+        Store's time at which the table had no other changes; None if unknown.
     own_confirmed_at : int or None
-        The same by this process's own calls alone.
+        The same, from this process's own calls alone.
     """
 
     era: int = 0
@@ -72,13 +72,13 @@
     confirmed_at: Millis | None = None
     own_confirmed_at: Millis | None = None
     _answered_since: Millis | None = None
-    _interrupted_as_of: Millis | None = None
+    _last_confirmed_before_outage: Millis | None = None
     _is_exact: bool = False
     _newest_reported: tuple[int, int] = (0, 0)
 
     @property
     def watermark(self) -> TableWatermark | None:
-        """What may be told to other processes; None if nothing is known for sure."""
+        """Watermark to send to other processes; None if nothing is confirmed."""
         if self.confirmed_at is None:
             return None
         return TableWatermark(
@@ -91,51 +91,52 @@
 
     @property
     def is_behind(self) -> bool:
-        """Whether another process has something newer."""
+        """Whether another process has reported a newer change."""
         return self._newest_reported > (self.era, self.applied_version)
 
     def record_full_read(self, era: int, version: int, store_ms: Millis | None) -> None:
-        """Note that all rows at a version of the store are in force here.
+        """Record that all rows at a version of the store are applied here.
 
         Parameters
         ----------
         era, version : int
         store_ms : int or None
-            Store's time of the read; None if it was not told.
+            Store's time of the read; None if the answer did not contain it.
         """
         if era != self.era:
             self.confirmed_at = self.own_confirmed_at = self._answered_since = None
-            self._interrupted_as_of = None
+            self._last_confirmed_before_outage = None
         self.era, self.applied_version, self.newest_version = era, version, version
         self._is_exact = False
-        self._prove(store_ms)
+        self._confirm(store_ms)
 
     def record_changes(
         self, version: int, newest_version: int | None, store_ms: Millis | None
     ) -> None:
-        """Note that the changes up to a version are in force here.
+        """Record that all changes up to a version are applied here.
 
         Parameters
         ----------
         version : int
-        newest : int or None
-            Of the last of the changes; None if there were none.
+        newest_version : int or None
+            Version of the last of the changes; None if there were none.
         store_ms : int or None
-            Store's time at which there were no others; None if there may have been.
+            Store's time at which there were no other changes; None if there may have
+            been.
         """
         self.applied_version = version
         if newest_version is not None:
             self.newest_version, self._is_exact = newest_version, True
-        self._prove(store_ms)
+        self._confirm(store_ms)
 
     def merge(self, watermark: TableWatermark, store_now: Millis | None = None) -> None:
-        """Take in another process's statement.
+        """Merge another process's watermark.
 
         Parameters
         ----------
-        statement : TableWatermark
+        watermark : TableWatermark
         store_now : int or None, default=None
-            The store's time; None if it isn't known.
+            The store's time; None if unknown.
         """
         if watermark.is_exact:
             self._newest_reported = max(
@@ -143,7 +144,7 @@
             )
         if watermark.era != self.era or watermark.newest_version > self.applied_version:
             return
-        if store_now is not None and watermark.confirmed_at > store_now + _AHEAD_MS:
+        if store_now is not None and watermark.confirmed_at > store_now + _MAX_AHEAD_MS:
             return
         if self.confirmed_at is None or watermark.confirmed_at > self.confirmed_at:
             self.confirmed_at = watermark.confirmed_at
@@ -159,37 +160,46 @@
             )
 
     def record_failed_call(self) -> None:
-        """Note that a call was not answered."""
+        """Record that a call was not answered."""
         if self._answered_since is not None:
-            self._interrupted_as_of = self.own_confirmed_at
+            self._last_confirmed_before_outage = self.own_confirmed_at
             self._answered_since = None
 
     def is_outage_local(self, watermark: TableWatermark, store_now: Millis) -> bool:
-        """Whether another process was answered all through the last interruption."""
-        if self._interrupted_as_of is None or watermark.answered_since is None:
+        """Whether the store answered another process throughout this one's outage."""
+        if (
+            self._last_confirmed_before_outage is None
+            or watermark.answered_since is None
+        ):
             return False
-        is_recent = -_AHEAD_MS <= store_now - watermark.confirmed_at <= _RECENT_MS
-        return is_recent and watermark.answered_since <= self._interrupted_as_of
+        is_recent = (
+            -_MAX_AHEAD_MS
+            <= store_now - watermark.confirmed_at
+            <= _MAX_WATERMARK_AGE_MS
+        )
+        return (
+            is_recent and watermark.answered_since <= self._last_confirmed_before_outage
+        )
 
     def age(self, store_now: Millis | None) -> Millis | None:
-        """Return for how long changes may have gone unnoticed; None if not known."""
+        """Return for how long changes may have been missed; None if unknown."""
         if store_now is None or self.confirmed_at is None:
             return None
-        if self.confirmed_at > store_now + _AHEAD_MS:
+        if self.confirmed_at > store_now + _MAX_AHEAD_MS:
             return None
         return max(0, store_now - self.confirmed_at)
 
     def reset(self) -> None:
-        """Forget everything: the table is to be read from another store."""
+        """Discard everything, because the table is read from another store from now."""
         self.era = self.applied_version = self.newest_version = 0
         self.confirmed_at = self.own_confirmed_at = self._answered_since = None
-        self._interrupted_as_of = None
+        self._last_confirmed_before_outage = None
         self._is_exact, self._newest_reported = False, (0, 0)
 
-    def _prove(self, store_ms: Millis | None) -> None:
+    def _confirm(self, store_ms: Millis | None) -> None:
         if store_ms is None:
             return
-        if store_ms < (self.own_confirmed_at or 0) - _AHEAD_MS:
+        if store_ms < (self.own_confirmed_at or 0) - _MAX_AHEAD_MS:
             self.confirmed_at = self._answered_since = None
         if self._answered_since is None:
             self._answered_since = store_ms
--- a/src/azurefold/core/membership/gossip.py
+++ b/src/azurefold/core/membership/gossip.py
@@ -1,8 +1,8 @@
-"""How control processes keep their records equal: rumours and repair.
+"""Replication of records between control processes: gossip and anti-entropy.
 
-A change is passed on to random peers some times by each control that learns
-it. What that misses, repair finds: each digest compares all buckets with one
-peer, and for one bucket that differs the two exchange what is not the same.
+Each control that learns of a change forwards it several times to random peers.
+Anti-entropy repairs whatever gossip misses: a digest compares all buckets with one
+peer, and for one differing bucket both sides exchange the records that differ.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -13,11 +13,11 @@
 from azurefold.core.membership.controls import Controls
 from azurefold.core.membership.endpoints import Endpoint, Role, State, name_hash
 from azurefold.core.membership.gossip_queue import (
-    MAX_PAYLOAD,
-    OVERHEAD,
-    Pacer,
-    Rumours,
-    page,
+    DATAGRAM_OVERHEAD_BYTES,
+    MAX_PAYLOAD_BYTES,
+    GossipQueue,
+    GossipRateLimiter,
+    split_into_datagrams,
     wire_size,
 )
 from azurefold.core.membership.messages import (
@@ -37,19 +37,19 @@
 _DIGEST_BYTES = 84
 _WANT_ENTRY_BYTES = 5
 _CHANGE_BYTES = 21
-_MAX_CHANGES = MAX_PAYLOAD // _CHANGE_BYTES
+_MAX_CHANGES = MAX_PAYLOAD_BYTES // _CHANGE_BYTES
 _MAX_WANTED = 100
 
 
 class Gossip:
-    """The traffic of one control with its peers.
+    """Exchange of records between one control and its peers.
 
     Parameters
     ----------
     records : mapping
-        The directory's records by name, which only the directory changes.
+        The directory's records by name. Only the directory modifies them.
     controls : Controls
-        Whom to send to.
+        The peers to send to.
     timing : Timing
         Intervals and budgets.
     now : int
@@ -66,140 +66,152 @@
         self._records = records
         self._controls = controls
         self._timing = timing
-        self._rumours = Rumours(timing.rumour_sends)
-        self._pacer = Pacer(timing, now)
+        self._queue = GossipQueue(timing.sends_per_update)
+        self._rate_limiter = GossipRateLimiter(timing, now)
         self._buckets = Buckets()
-        self._names: dict[int, str] = {}
-        self._rumour_at = self._digest_at = now
+        self._name_by_hash: dict[int, str] = {}
+        self._next_update_at = self._next_digest_at = now
         self._next_bucket = 0
 
     @property
-    def _is_spreading(self) -> bool:
-        # Rumours carry more for their bytes than repair, which would take the
-        # budget and send again what is under way already. So it waits for
-        # them, but not for rumours that nobody is there to be told.
-        return bool(self._rumours) and bool(self._controls.peers)
-
-    def spread(self, record: Endpoint) -> None:
-        """Pass on a record that has changed."""
-        self._names[name_hash(record.name)] = record.name
+    def _has_pending_updates(self) -> bool:
+        # Gossip carries more information per byte than anti-entropy, which would use up
+        # the byte budget to resend changes that are already in flight. So anti-entropy
+        # waits until the queue is empty, unless there is no peer to send it to.
+        return bool(self._queue) and bool(self._controls.peers)
+
+    def enqueue(self, record: Endpoint) -> None:
+        """Queue a changed record for sending and update its bucket."""
+        self._name_by_hash[name_hash(record.name)] = record.name
         self._buckets.put(record)
-        self._rumours.add(record.name, urgent=_is_urgent(record))
+        self._queue.add(record.name, urgent=_is_urgent(record))
 
-    def find(self, hashed: int) -> Endpoint | None:
+    def find_by_hash(self, hashed_name: int) -> Endpoint | None:
         """Return the record whose name has this hash, or None."""
-        name = self._names.get(hashed)
+        name = self._name_by_hash.get(hashed_name)
         return None if name is None else self._records[name]
 
-    def read(self, message: Changes) -> tuple[list[Endpoint], list[int]]:
-        """Return the records that a peer holds, and name hashes unknown here."""
+    def apply_changes(self, message: Changes) -> tuple[list[Endpoint], list[int]]:
+        """Return the peer's records, and the name hashes of those unknown here."""
         records, unknown = [], []
         for change in message.changes:
-            known = self.find(change.name)
+            known = self.find_by_hash(change.name)
             if known is None or known.incarnation < change.incarnation:
                 unknown.append(change.name)
             else:
-                records.append(_changed(known, change))
+                records.append(_apply_change(known, change))
         return records, unknown
 
-    def heard_again(self, name: str) -> None:
-        """Note that a peer passed on what is held here already."""
-        self._rumours.heard_again(name)
+    def record_duplicate(self, name: str) -> None:
+        """Record that a peer sent a change that is already known here."""
+        self._queue.record_duplicate(name)
 
-    def keep_quiet(self, name: str) -> None:
-        """Do not pass on what is held of ``name``."""
-        self._rumours.discard(name)
+    def cancel_update(self, name: str) -> None:
+        """Remove the record of ``name`` from the queue."""
+        self._queue.discard(name)
 
     def forget(self, name: str) -> None:
-        """Drop what is kept for a record that is no longer held."""
-        self._names.pop(name_hash(name), None)
+        """Delete all state of a record that the directory has deleted."""
+        self._name_by_hash.pop(name_hash(name), None)
         self._buckets.remove(name)
-        self._rumours.discard(name)
+        self._queue.discard(name)
 
     def tick(self, now: Millis, draw: int) -> list[Send]:
-        """Send the digest and the rumours that are due."""
+        """Return the digest and the queued changes that are due."""
         sends = []
-        if now >= self._digest_at:
-            self._digest_at = now + self._timing.digest
+        if now >= self._next_digest_at:
+            self._next_digest_at = now + self._timing.digest_interval_ms
             sends += self._send_digest(draw, now)
-        if now >= self._rumour_at and self._rumours:
-            self._rumour_at = now + self._timing.rumour
-            sends += self._send_rumours(draw, now)
+        if now >= self._next_update_at and self._queue:
+            self._next_update_at = now + self._timing.update_interval_ms
+            sends += self._send_updates(draw, now)
         return sends
 
     def on_digest(self, message: Digest, origin: str, now: Millis) -> list[Send]:
-        """Answer with a summary of one bucket that differs, if any does."""
+        """Reply with a summary of one differing bucket, if there is one."""
         bucket = self._buckets.first_difference(message.buckets, self._next_bucket)
-        if bucket is None or self._is_spreading:
+        if bucket is None or self._has_pending_updates:
             return []
         self._next_bucket = bucket + 1
         summary = self._buckets.summary(bucket)
-        size = OVERHEAD + _SUMMARY_ENTRY_BYTES * len(summary.entries)
-        return [Send(origin, summary)] if self._pacer.take(size, now) else []
+        size = DATAGRAM_OVERHEAD_BYTES + _SUMMARY_ENTRY_BYTES * len(summary.entries)
+        return (
+            [Send(origin, summary)] if self._rate_limiter.try_consume(size, now) else []
+        )
 
     def on_summary(self, message: Summary, origin: str, now: Millis) -> list[Send]:
-        """Answer with what is held here, and ask for what is unknown."""
-        here, there = self._buckets.compare(message)
-        # Where one bucket differed, another one is likely to.
-        if not self._is_spreading:
-            self._digest_at = min(self._digest_at, now + self._timing.rumour)
-        unknown = [hashed for hashed in there if hashed not in self._names]
-        known = {*here, *there}.difference(unknown)
-        records = [self._records[self._names[hashed]] for hashed in sorted(known)]
+        """Reply with the local records that differ, and request unknown ones."""
+        local, remote = self._buckets.compare(message)
+        # If one bucket differs, another one is likely to differ too.
+        if not self._has_pending_updates:
+            self._next_digest_at = min(
+                self._next_digest_at, now + self._timing.update_interval_ms
+            )
+        unknown = [name for name in remote if name not in self._name_by_hash]
+        known = {*local, *remote}.difference(unknown)
+        records = [self._records[self._name_by_hash[name]] for name in sorted(known)]
         changes = self.send_changes(records, origin, now)
-        return changes + self.ask_for(unknown, origin, now)
+        return changes + self.request_records(unknown, origin, now)
 
-    def ask_for(self, hashes: Sequence[int], origin: str, now: Millis) -> list[Send]:
-        """Ask a peer for whole records."""
+    def request_records(
+        self, hashes: Sequence[int], origin: str, now: Millis
+    ) -> list[Send]:
+        """Request complete records from a peer."""
         wanted = tuple(hashes[:_MAX_WANTED])
-        size = OVERHEAD + _WANT_ENTRY_BYTES * len(wanted)
-        if not wanted or not self._pacer.take(size, now):
+        size = DATAGRAM_OVERHEAD_BYTES + _WANT_ENTRY_BYTES * len(wanted)
+        if not wanted or not self._rate_limiter.try_consume(size, now):
             return []
         return [Send(origin, Want(wanted))]
 
     def on_want(self, message: Want, origin: str, now: Millis) -> list[Send]:
-        """Answer with the records asked for."""
-        found = (self.find(hashed) for hashed in message.names[:_MAX_WANTED])
-        return self._send_records([r for r in found if r is not None], origin, now)
+        """Reply with the requested records."""
+        found = (self.find_by_hash(name) for name in message.names[:_MAX_WANTED])
+        return self._send_records(
+            [record for record in found if record is not None], origin, now
+        )
 
     def send_changes(
         self, records: Sequence[Endpoint], to: str, now: Millis
     ) -> list[Send]:
-        """Return datagrams with what may have changed of ``records``."""
+        """Return datagrams with the mutable fields of ``records``."""
         sends = []
         for start in range(0, len(records), _MAX_CHANGES):
             group = records[start : start + _MAX_CHANGES]
-            if not self._pacer.take(OVERHEAD + _CHANGE_BYTES * len(group), now):
+            if not self._rate_limiter.try_consume(
+                DATAGRAM_OVERHEAD_BYTES + _CHANGE_BYTES * len(group), now
+            ):
                 break
-            sends.append(Send(to, Changes(tuple(map(_change, group)))))
+            sends.append(Send(to, Changes(tuple(map(_to_change, group)))))
         return sends
 
     def _send_records(
         self, records: Iterable[Endpoint], to: str, now: Millis
     ) -> list[Send]:
         sends = []
-        for group in page(records):
-            size = OVERHEAD + sum(map(wire_size, group))
-            if not self._pacer.take(size, now):
+        for group in split_into_datagrams(records):
+            size = DATAGRAM_OVERHEAD_BYTES + sum(map(wire_size, group))
+            if not self._rate_limiter.try_consume(size, now):
                 break
             sends.append(Send(to, Records(group)))
         return sends
 
     def _send_digest(self, draw: int, now: Millis) -> list[Send]:
-        peer = self._controls.draw_any(draw)
-        if peer is None or not self._pacer.take(OVERHEAD + _DIGEST_BYTES, now):
+        peer = self._controls.pick_any(draw)
+        if peer is None or not self._rate_limiter.try_consume(
+            DATAGRAM_OVERHEAD_BYTES + _DIGEST_BYTES, now
+        ):
             return []
         return [Send(peer, Digest(self._buckets.hashes))]
 
-    def _send_rumours(self, draw: int, now: Millis) -> list[Send]:
-        peer = self._controls.draw_live(draw)
+    def _send_updates(self, draw: int, now: Millis) -> list[Send]:
+        peer = self._controls.pick_live(draw)
         if peer is None:
             return []
-        names = self._rumours.next_names(_MAX_CHANGES)
+        names = self._queue.next_names(_MAX_CHANGES)
         records = [self._records[name] for name in names]
         sends = self.send_changes(records, peer, now)
         if sends:
-            self._rumours.count_down(names)
+            self._queue.decrement_remaining_sends(names)
         return sends
 
 
@@ -207,7 +219,7 @@
     return record.role is Role.CONTROL or record.state is State.LEAVING
 
 
-def _change(record: Endpoint) -> Change:
+def _to_change(record: Endpoint) -> Change:
     return Change(
         name=name_hash(record.name),
         incarnation=record.incarnation,
@@ -218,8 +230,8 @@
     )
 
 
-def _changed(known: Endpoint, change: Change) -> Endpoint:
-    """Return the sender's record, as far as ``change`` tells it."""
+def _apply_change(known: Endpoint, change: Change) -> Endpoint:
+    """Return the known record with the fields of ``change``."""
     return replace(
         known,
         incarnation=change.incarnation,
--- a/src/azurefold/core/membership/gossip_queue.py
+++ b/src/azurefold/core/membership/gossip_queue.py
@@ -1,4 +1,4 @@
-"""Changes still to be passed on, within a budget of bytes."""
+"""Queue of changes to send to peers, and the rate limit of gossip."""
 
 from collections.abc import Iterable
 
@@ -6,106 +6,113 @@
 from azurefold.core.membership.endpoints import Endpoint
 from azurefold.core.membership.messages import Timing
 
-__all__ = ["MAX_PAYLOAD", "OVERHEAD", "Pacer", "Rumours", "page", "wire_size"]
+__all__ = [
+    "DATAGRAM_OVERHEAD_BYTES",
+    "MAX_PAYLOAD_BYTES",
+    "GossipQueue",
+    "GossipRateLimiter",
+    "split_into_datagrams",
+    "wire_size",
+]
 
-MAX_PAYLOAD = 1_050
-"""Bytes of records in one datagram, so that none is fragmented."""
+MAX_PAYLOAD_BYTES = 1_050
+"""Maximum size of the records in one datagram, so that none is fragmented."""
 
-OVERHEAD = 96
-"""Bytes of UDP, IP and seal with a name of 25 letters."""
+DATAGRAM_OVERHEAD_BYTES = 96
+"""Size of UDP and IP headers and of the seal, with a sender name of 25 letters."""
 
-_RECORD_OVERHEAD = 34
+_RECORD_OVERHEAD_BYTES = 34
 
 
 def wire_size(record: Endpoint) -> int:
-    """Return an upper estimate of a record's bytes in a datagram."""
-    texts = len(record.name) + len(record.address) + len(record.service)
-    return _RECORD_OVERHEAD + texts
+    """Return an upper bound of a record's size in a datagram, in bytes."""
+    text_bytes = len(record.name) + len(record.address) + len(record.service)
+    return _RECORD_OVERHEAD_BYTES + text_bytes
 
 
-def page(records: Iterable[Endpoint]) -> list[tuple[Endpoint, ...]]:
-    """Split records into groups that each fit one datagram."""
-    pages: list[list[Endpoint]] = []
-    room = 0
+def split_into_datagrams(records: Iterable[Endpoint]) -> list[tuple[Endpoint, ...]]:
+    """Split records into groups that each fit into one datagram."""
+    groups: list[list[Endpoint]] = []
+    remaining_bytes = 0
     for record in records:
         size = wire_size(record)
-        if not pages or size > room:
-            pages.append([])
-            room = MAX_PAYLOAD
-        pages[-1].append(record)
-        room -= size
-    return [tuple(records) for records in pages]
+        if not groups or size > remaining_bytes:
+            groups.append([])
+            remaining_bytes = MAX_PAYLOAD_BYTES
+        groups[-1].append(record)
+        remaining_bytes -= size
+    return [tuple(group) for group in groups]
 
 
-class Pacer:
-    """A token bucket of bytes for gossip.
+class GossipRateLimiter:
+    """A token bucket that limits the bytes of gossip.
 
-    After a rack's failure or a healed cut hundreds of records change at once.
-    Unpaced, each control would send them all to many peers in a moment and
-    exceed what a node may spend; paced, they take some seconds longer.
+    After a rack failure or the end of a network partition hundreds of records change at
+    once. Without a limit each control would send them all to many peers immediately and
+    exceed a node's bandwidth budget. With the limit it takes some seconds longer.
     """
 
     def __init__(self, timing: Timing, now: Millis) -> None:
         self._timing = timing
         self._tokens = float(timing.burst_bytes)
-        self._filled_at = now
+        self._refilled_at = now
 
-    def take(self, size: int, now: Millis) -> bool:
-        """Return whether ``size`` bytes may be sent, and spend them if so."""
-        gained = (now - self._filled_at) * self._timing.bytes_per_second / SECOND
-        self._tokens = min(self._tokens + gained, float(self._timing.burst_bytes))
-        self._filled_at = now
+    def try_consume(self, size: int, now: Millis) -> bool:
+        """Consume ``size`` bytes if available; return whether they may be sent."""
+        refill = (now - self._refilled_at) * self._timing.bytes_per_second / SECOND
+        self._tokens = min(self._tokens + refill, float(self._timing.burst_bytes))
+        self._refilled_at = now
         if self._tokens < size:
             return False
         self._tokens -= size
         return True
 
 
-class Rumours:
-    """The names whose newest record is still to be passed on some times."""
+class GossipQueue:
+    """Names whose latest record still has to be sent to peers."""
 
-    def __init__(self, sends: int) -> None:
-        self._sends = sends
-        self._left: dict[str, int] = {}
+    def __init__(self, sends_per_update: int) -> None:
+        self._sends_per_update = sends_per_update
+        self._remaining_sends: dict[str, int] = {}
         self._urgent: set[str] = set()
 
     def __bool__(self) -> bool:
-        return bool(self._left)
+        return bool(self._remaining_sends)
 
     def add(self, name: str, urgent: bool) -> None:
-        """Pass the record of ``name`` on, counting anew.
+        """Queue the record of ``name`` for the full number of sends.
 
-        Who is a control and who leaves is urgent: it goes first and the whole
-        number of times. While controls disagree on who is a control, they send
-        endpoints to and fro between their lists of homes.
+        Changes of controls and of leaving endpoints are urgent: they are sent first,
+        and the full number of times. While controls disagree about which controls
+        exist, they keep reassigning endpoints to different owners.
         """
-        self._left[name] = self._sends
+        self._remaining_sends[name] = self._sends_per_update
         if urgent:
             self._urgent.add(name)
 
     def discard(self, name: str) -> None:
-        """Pass it on no more."""
-        self._left.pop(name, None)
+        """Remove ``name`` from the queue."""
+        self._remaining_sends.pop(name, None)
         self._urgent.discard(name)
 
     def next_names(self, count: int) -> list[str]:
-        """Return up to ``count`` names, the least often passed on first."""
+        """Return up to ``count`` names, urgent ones and the least often sent first."""
 
         def order(name: str) -> tuple[bool, int, str]:
-            return name not in self._urgent, -self._left[name], name
+            return name not in self._urgent, -self._remaining_sends[name], name
 
-        return sorted(self._left, key=order)[:count]
+        return sorted(self._remaining_sends, key=order)[:count]
 
-    def heard_again(self, name: str) -> None:
-        """Note that a peer told what was known: the news has got about."""
+    def record_duplicate(self, name: str) -> None:
+        """Skip one send of a change that a peer already has, unless it is urgent."""
         if name not in self._urgent:
-            self.count_down([name])
+            self.decrement_remaining_sends([name])
 
-    def count_down(self, names: Iterable[str]) -> None:
-        """Note that these were passed on once more."""
+    def decrement_remaining_sends(self, names: Iterable[str]) -> None:
+        """Record one send of each name and remove those that are complete."""
         for name in names:
-            left = self._left.get(name, 0) - 1
-            if left > 0:
-                self._left[name] = left
+            remaining = self._remaining_sends.get(name, 0) - 1
+            if remaining > 0:
+                self._remaining_sends[name] = remaining
             else:
                 self.discard(name)
--- a/src/azurefold/core/membership/isolation.py
+++ b/src/azurefold/core/membership/isolation.py
@@ -1,4 +1,4 @@
-"""Whether this node seems to be cut off from the others, by their silence."""
+"""Detects from the silence of its peers whether this node is cut off."""
 
 from dataclasses import dataclass, field
 
@@ -7,32 +7,35 @@
 __all__ = ["IsolationDetector"]
 
 _SILENT_AFTER_MS: Millis = 700
-"""Peers tell at least twice a second, under load more often. One lost message is no
-silence; half of all peers that lose one at the same time are a cut."""
+"""Peers send at least twice a second, and more often under load. One lost message does
+not make a peer silent. If half of the peers miss one at once, this node is cut off."""
 
 _FORGOTTEN_AFTER_MS: Millis = 20_000
-"""A peer that was silent for so long is gone rather than cut off."""
+"""A peer that is silent for longer has stopped and is no evidence of isolation."""
 
 _SILENT_SHARE = 0.5
-_FEWEST_PEERS = 2
+_MIN_PEERS = 2
 
 
 @dataclass(slots=True)
 class IsolationDetector:
-    """When each peer was last heard."""
+    """Time of the last message from each peer."""
 
-    _heard: dict[str, Millis] = field(default_factory=dict)
+    _last_message_at: dict[str, Millis] = field(default_factory=dict)
 
     def record_message(self, peer: str, now: Millis) -> None:
-        """Take in a message of a peer."""
-        self._heard[peer] = now
+        """Record a message from a peer."""
+        self._last_message_at[peer] = now
 
     def is_isolated(self, now: Millis) -> bool:
-        """Whether half of the peers, or more, have fallen silent."""
-        for peer, at in list(self._heard.items()):
-            if now - at >= _FORGOTTEN_AFTER_MS:
-                del self._heard[peer]
-        if len(self._heard) < _FEWEST_PEERS:
+        """Whether at least half of the peers are silent."""
+        for peer, received_at in list(self._last_message_at.items()):
+            if now - received_at >= _FORGOTTEN_AFTER_MS:
+                del self._last_message_at[peer]
+        if len(self._last_message_at) < _MIN_PEERS:
             return False
-        silent = sum(now - at >= _SILENT_AFTER_MS for at in self._heard.values())
-        return silent >= _SILENT_SHARE * len(self._heard)
+        silent_count = sum(
+            now - received_at >= _SILENT_AFTER_MS
+            for received_at in self._last_message_at.values()
+        )
+        return silent_count >= _SILENT_SHARE * len(self._last_message_at)
--- a/src/azurefold/core/membership/leaving.py
+++ b/src/azurefold/core/membership/leaving.py
@@ -1,8 +1,8 @@
-"""An endpoint's own part in leaving: it refuses new work from then on.
+"""Admission of work by an endpoint itself, and its drain once it is leaving.
 
-News of leaving takes time to reach all entries, and some may be cut off. So
-the promise that a leaving endpoint gets no new work is kept where it cannot
-be late: by the endpoint itself.
+A change to leaving takes time to reach all entries, and some may be cut off. So the
+guarantee that a leaving endpoint starts no new work is enforced where no message can be
+late: in the endpoint itself.
 """
 
 from dataclasses import dataclass, replace
@@ -12,26 +12,26 @@
 
 __all__ = [
     "Admitted",
-    "Finished",
-    "Leaving",
-    "Progress",
+    "DrainFinished",
+    "DrainProgress",
+    "Draining",
     "Refused",
-    "WorkLoad",
-    "admit",
-    "begin_leaving",
-    "finish",
-    "progress",
+    "WorkState",
+    "admit_work",
+    "drain_progress",
+    "finish_work",
+    "start_leaving",
 ]
 
 
 @dataclass(frozen=True, slots=True)
-class WorkLoad:
-    """What an endpoint has in flight.
+class WorkState:
+    """Work in flight at an endpoint.
 
     Parameters
     ----------
     in_flight : int
-        Pieces of work admitted and not finished.
+        Number of work items admitted and not finished.
     leaving_since : int or None
         When leaving was announced, in milliseconds.
     """
@@ -41,7 +41,7 @@
 
     @property
     def state(self) -> State:
-        """What to announce."""
+        """The state to announce."""
         if self.leaving_since is None:
             return State.SERVING
         return State.LEAVING if self.in_flight else State.GONE
@@ -49,75 +49,75 @@
 
 @dataclass(frozen=True, slots=True)
 class Admitted:
-    """The work is in flight; ``load`` is the new state."""
+    """The work item is in flight; ``work`` is the new state."""
 
-    load: WorkLoad
+    work: WorkState
 
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """The work was not run, since the endpoint is leaving."""
+    """The work item was not run, because the endpoint is leaving."""
 
     leaving_since: Millis
 
 
 @dataclass(frozen=True, slots=True)
-class Leaving:
-    """The endpoint leaves and still has work in flight."""
+class Draining:
+    """The endpoint is leaving and still has work in flight."""
 
     in_flight: int
-    for_ms: Millis
+    elapsed_ms: Millis
 
 
 @dataclass(frozen=True, slots=True)
-class Finished:
-    """Nothing is in flight any more; the process may stop."""
+class DrainFinished:
+    """No work is in flight any more; the process may stop."""
 
-    for_ms: Millis
+    elapsed_ms: Millis
 
 
-Progress = Leaving | Finished
+DrainProgress = Draining | DrainFinished
 
 
-def admit(load: WorkLoad) -> Admitted | Refused:
-    """Admit one more piece of work unless the endpoint is leaving.
+def admit_work(work: WorkState) -> Admitted | Refused:
+    """Admit one more work item unless the endpoint is leaving.
 
     Examples
     --------
-    >>> admit(begin_leaving(WorkLoad(in_flight=1), now=5))
+    >>> admit_work(start_leaving(WorkState(in_flight=1), now=5))
     Refused(leaving_since=5)
     """
-    if load.leaving_since is not None:
-        return Refused(load.leaving_since)
-    return Admitted(replace(load, in_flight=load.in_flight + 1))
+    if work.leaving_since is not None:
+        return Refused(work.leaving_since)
+    return Admitted(replace(work, in_flight=work.in_flight + 1))
 
 
-def finish(load: WorkLoad) -> WorkLoad:
-    """Return the state after one piece of work has ended.
+def finish_work(work: WorkState) -> WorkState:
+    """Return the state after one work item has finished.
 
     Raises
     ------
     ValueError
-        If none was in flight: a piece counted twice would end a drain early
-        and cut another one off.
+        If no work is in flight. An item counted twice would end a drain early and
+        interrupt another item.
     """
-    if load.in_flight == 0:
-        raise ValueError("no work is in flight; was one piece finished twice?")
-    return replace(load, in_flight=load.in_flight - 1)
+    if work.in_flight == 0:
+        raise ValueError("no work is in flight; was one work item finished twice?")
+    return replace(work, in_flight=work.in_flight - 1)
 
 
-def begin_leaving(load: WorkLoad, now: Millis) -> WorkLoad:
-    """Refuse new work from now on; there is no way back."""
-    if load.leaving_since is not None:
-        return load
-    return replace(load, leaving_since=now)
+def start_leaving(work: WorkState, now: Millis) -> WorkState:
+    """Refuse new work from now on; this cannot be undone."""
+    if work.leaving_since is not None:
+        return work
+    return replace(work, leaving_since=now)
 
 
-def progress(load: WorkLoad, now: Millis) -> Progress | None:
-    """Return how far leaving has come, or None for one that stays."""
-    if load.leaving_since is None:
+def drain_progress(work: WorkState, now: Millis) -> DrainProgress | None:
+    """Return the progress of the drain, or None if the endpoint is not leaving."""
+    if work.leaving_since is None:
         return None
-    for_ms = now - load.leaving_since
-    if load.in_flight:
-        return Leaving(load.in_flight, for_ms)
-    return Finished(for_ms)
+    elapsed_ms = now - work.leaving_since
+    if work.in_flight:
+        return Draining(work.in_flight, elapsed_ms)
+    return DrainFinished(elapsed_ms)
--- a/src/azurefold/core/membership/messages.py
+++ b/src/azurefold/core/membership/messages.py
@@ -1,4 +1,4 @@
-"""Messages of membership, as the decisions see them, and its settings."""
+"""Membership messages, independent of their encoding, and the timing settings."""
 
 from dataclasses import dataclass
 
@@ -23,56 +23,59 @@
     "Want",
 ]
 
-NO_LIST = 0
+SKIP_CONTROL_LIST = 0
+"""Digest of a sender that wants no list of controls in the reply."""
 
 
 @dataclass(frozen=True, slots=True)
 class Timing:
-    """Intervals and budgets; docs/design-membership.md works them out.
+    """Intervals and budgets; docs/design-membership.md derives them.
 
     Parameters
     ----------
-    heartbeat, probe_after, probe_every, expiry : int
-        An endpoint reports each ``heartbeat`` ms, is asked each
-        ``probe_every`` ms after ``probe_after`` ms of silence, and declared
-        gone after ``expiry`` ms.
-    rumour, digest : int
-        Changes go to one peer each ``rumour`` ms while there are any, a digest
-        of the whole directory each ``digest`` ms.
-    homes : int
-        Control processes that each endpoint reports to.
-    rumour_sends : int
-        How often each control passes one change on; one that is not urgent is
-        passed on once less for each time that others tell it again.
+    heartbeat_interval_ms : int
+        Interval of an endpoint's heartbeats.
+    probe_after_ms, probe_interval_ms, expire_after_ms : int
+        After ``probe_after_ms`` of silence an endpoint is probed every
+        ``probe_interval_ms``; after ``expire_after_ms`` it is declared gone.
+    update_interval_ms : int
+        Interval at which pending changes are sent to one peer.
+    digest_interval_ms : int
+        Interval at which a digest of the whole directory is sent to one peer.
+    owner_count : int
+        Number of control processes that each endpoint reports to.
+    sends_per_update : int
+        How many times each control forwards a change. For a change that is not urgent,
+        each duplicate received from a peer replaces one of these sends.
     bytes_per_second, burst_bytes : int
-        Of gossip sent. What exceeds them waits.
-    ask_reply, shun_after, shun_for : int
-        After ``ask_reply`` ms without a word from a control an endpoint asks
-        it for a reply; after ``shun_after`` it does without it for
-        ``shun_for``.
-    forget_after : int
+        Rate limit of sent gossip. Whatever exceeds it is delayed.
+    request_reply_after_ms, exclude_after_ms, exclude_for_ms : int
+        After ``request_reply_after_ms`` without a message from a control, an endpoint
+        requests a reply from it. After ``exclude_after_ms`` it stops using that control
+        for ``exclude_for_ms``.
+    forget_after_ms : int
         How long the record of a gone endpoint is kept.
     """
 
-    heartbeat: Millis = 3_000
-    probe_after: Millis = 5_000
-    probe_every: Millis = 1_000
-    expiry: Millis = 10_000
-    rumour: Millis = 250
-    digest: Millis = 2_000
-    homes: int = 2
-    rumour_sends: int = 4
+    heartbeat_interval_ms: Millis = 3_000
+    probe_after_ms: Millis = 5_000
+    probe_interval_ms: Millis = 1_000
+    expire_after_ms: Millis = 10_000
+    update_interval_ms: Millis = 250
+    digest_interval_ms: Millis = 2_000
+    owner_count: int = 2
+    sends_per_update: int = 4
     bytes_per_second: int = 500
     burst_bytes: int = 16_000
-    ask_reply: Millis = 12_000
-    shun_after: Millis = 24_000
-    shun_for: Millis = 60_000
-    forget_after: Millis = 7_200_000
+    request_reply_after_ms: Millis = 12_000
+    exclude_after_ms: Millis = 24_000
+    exclude_for_ms: Millis = 60_000
+    forget_after_ms: Millis = 7_200_000
 
 
 @dataclass(frozen=True, slots=True)
 class Source:
-    """Who sent a message, by its seal, and from which address it came."""
+    """Authenticated sender of a message, and the address that it came from."""
 
     name: str
     incarnation: int
@@ -81,9 +84,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """An endpoint lives.
+    """Periodic report of an endpoint.
 
-    ``controls`` is its digest of the control list, or 0 to be sent no list.
+    ``controls`` is the digest of its list of controls, or
+    ``SKIP_CONTROL_LIST`` (0).
     """
 
     version: int
@@ -95,31 +99,32 @@
 
 @dataclass(frozen=True, slots=True)
 class Announcement:
-    """An endpoint tells its whole record.
+    """Complete record of an endpoint, sent by the endpoint itself.
 
-    ``controls`` is its digest of the control list, or 0 to be sent no list.
+    ``controls`` is the digest of its list of controls, or
+    ``SKIP_CONTROL_LIST`` (0).
     """
 
     record: Endpoint
-    controls: int = NO_LIST
+    controls: int = SKIP_CONTROL_LIST
 
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """A control asks a silent endpoint to announce itself to the sender."""
+    """Request from a control to a silent endpoint to announce itself."""
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """A control answers an endpoint.
+    """Reply of a control to an endpoint.
 
     Parameters
     ----------
     controls : tuple of str
         Datagram addresses of the live controls; empty if the endpoint's list
-        was the same.
+        is up to date.
     announcement_wanted : bool
-        Whether the control does not know this incarnation yet.
+        Whether the control has no record of this incarnation yet.
     """
 
     controls: tuple[str, ...] = ()
@@ -128,14 +133,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Records:
-    """Records passed between controls."""
+    """Complete records, sent between controls."""
 
     records: tuple[Endpoint, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """What may change of a record within an incarnation; name by its hash."""
+    """The fields of a record that change within an incarnation; ``name`` is a hash."""
 
     name: int
     incarnation: int
@@ -147,7 +152,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Changes:
-    """Changes passed between controls, a fifth of the records' bytes."""
+    """Changes sent between controls, a fifth of the size of the complete records."""
 
     changes: tuple[Change, ...]
 
@@ -161,7 +166,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SummaryEntry:
-    """One record of a bucket, by the hash of its name and its fingerprint."""
+    """Name hash and fingerprint of one record in a bucket."""
 
     name: int
     fingerprint: int
@@ -169,7 +174,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Summary:
-    """What a control holds in a bucket that differed."""
+    """All records of one differing bucket of the sender."""
 
     bucket: int
     entries: tuple[SummaryEntry, ...]
@@ -177,7 +182,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Want:
-    """Hashes of names whose records the sender would like."""
+    """Request for complete records, by the hashes of their names."""
 
     names: tuple[int, ...]
 
--- a/src/azurefold/core/membership/presence.py
+++ b/src/azurefold/core/membership/presence.py
@@ -1,11 +1,11 @@
-"""An endpoint's reports of itself to the control processes near it."""
+"""Reports of an endpoint to the control processes of its data centre."""
 
 from dataclasses import dataclass, replace
 
 from azurefold.core.clock import Millis
 from azurefold.core.membership.endpoints import Endpoint, State
 from azurefold.core.membership.messages import (
-    NO_LIST,
+    SKIP_CONTROL_LIST,
     Announcement,
     Heartbeat,
     Message,
@@ -14,18 +14,18 @@
     Send,
     Timing,
 )
-from azurefold.core.membership.rendezvous import controls_digest, homes
+from azurefold.core.membership.rendezvous import controls_digest, select_owners
 
 __all__ = ["Presence"]
 
-_REPEATS = 3
-_REPEAT_AFTER: Millis = 250
+_ANNOUNCEMENT_SENDS = 3
+_REPEAT_INTERVAL_MS: Millis = 250
 
 
 @dataclass(slots=True)
-class _Home:
-    heard_at: Millis
-    shunned_until: Millis = 0
+class _Owner:
+    last_message_at: Millis
+    excluded_until: Millis = 0
 
 
 class Presence:
@@ -40,7 +40,7 @@
     seeds : tuple of str
         Datagram addresses of some controls, from the settings.
     timing : Timing
-        The same as the controls use.
+        Must be the same as that of the controls.
     """
 
     def __init__(
@@ -54,55 +54,55 @@
         self._seeds = seeds
         self._timing = timing or Timing()
         self._controls: tuple[str, ...] = ()
-        self._homes: dict[str, _Home] = {}
+        self._owners: dict[str, _Owner] = {}
         self._load = own.load
-        self._beat_at = now
-        self._repeats = _REPEATS
+        self._next_send_at = now
+        self._remaining_announcements = _ANNOUNCEMENT_SENDS
 
     @property
     def own(self) -> Endpoint:
-        """The record as announced last."""
+        """The most recently announced record."""
         return self._own
 
     @property
     def controls(self) -> tuple[str, ...]:
-        """Datagram addresses of the controls, as last told."""
+        """Datagram addresses of the controls, as most recently received."""
         return self._controls
 
     def announce(self, state: State, now: Millis) -> list[Send]:
-        """Tell a new state at once, then again twice in case of loss.
+        """Announce a new state immediately, and twice more in case of loss.
 
-        Leaving cannot be taken back, nor can being gone.
+        Neither leaving nor being gone can be undone.
         """
         state = max(state, self._own.announced)
         if state is self._own.announced:
             return []
         version = self._own.version + 1
-        leaving = state >= State.LEAVING
+        is_leaving = state >= State.LEAVING
         self._own = replace(
             self._own,
             version=version,
             announced=state,
             load=self._load,
-            departing=leaving,
+            departing=is_leaving,
         )
-        self._repeats = _REPEATS
-        self._beat_at = now
+        self._remaining_announcements = _ANNOUNCEMENT_SENDS
+        self._next_send_at = now
         return self.tick(now)
 
     def set_load(self, load: int) -> None:
-        """Give the load that the next heartbeats carry, in hundredths."""
+        """Set the load that the next heartbeats report, in hundredths."""
         self._load = load
 
     def receive(self, message: Message, origin: str, now: Millis) -> list[Send]:
-        """Take one message from a control whose seal was good."""
-        if origin in self._homes:
-            self._homes[origin] = _Home(heard_at=now)
+        """Process one authenticated message from a control."""
+        if origin in self._owners:
+            self._owners[origin] = _Owner(last_message_at=now)
         match message:
             case Probe():
-                # Without its list's digest, so that no list comes back: the
-                # two sides of a network partition would else give it theirs
-                # in turn, and each answer is the largest message there is.
+                # The announcement has no digest, so that the reply contains no list.
+                # Otherwise the two sides of a network partition would alternately
+                # send their lists, and a list is the largest of all messages.
                 return [Send(origin, Announcement(self._own))]
             case Reply(controls, announcement_wanted):
                 if controls:
@@ -112,59 +112,71 @@
                 return []
 
     def tick(self, now: Millis) -> list[Send]:
-        """Send what is due; call it each 250 ms."""
-        if now < self._beat_at:
+        """Return the messages that are due; call it every 250 ms."""
+        if now < self._next_send_at:
             return []
         targets = self._targets(now)
-        if self._repeats:
-            self._repeats -= 1
-            self._beat_at = now + _REPEAT_AFTER
+        if self._remaining_announcements:
+            self._remaining_announcements -= 1
+            self._next_send_at = now + _REPEAT_INTERVAL_MS
             return [self._announcement(target) for target in targets]
-        self._beat_at = now + self._timing.heartbeat
-        # One home is enough to learn of a change of the list, which is the
-        # largest of all messages; of the homes, take the one heard last.
-        lister = max(
-            targets, key=lambda target: self._homes[target].heard_at, default=None
+        self._next_send_at = now + self._timing.heartbeat_interval_ms
+        # One owner is enough to receive a new list, the largest of all messages. The
+        # owner with the most recent message is selected.
+        list_source = max(
+            targets,
+            key=lambda target: self._owners[target].last_message_at,
+            default=None,
         )
-        return [self._heartbeat(t, now, t == lister) for t in targets]
+        return [
+            self._heartbeat(target, now, target == list_source) for target in targets
+        ]
 
     def _targets(self, now: Millis) -> tuple[str, ...]:
-        usable = [c for c in self._controls if not self._is_shunned(c, now)]
-        chosen = homes(self._own.name, usable, self._timing.homes)
+        usable = [
+            control for control in self._controls if not self._is_excluded(control, now)
+        ]
+        chosen = select_owners(self._own.name, usable, self._timing.owner_count)
         if not chosen:
-            # All controls that were known may have been replaced meanwhile.
+            # All known controls may have been replaced in the meantime.
             chosen = tuple(dict.fromkeys((*self._seeds, *self._controls)))
-        kept = {target: self._homes.get(target) for target in chosen}
-        shunned = {t: h for t, h in self._homes.items() if h.shunned_until > now}
-        current = {target: home or _Home(now) for target, home in kept.items()}
-        self._homes = {**shunned, **current}
+        kept = {target: self._owners.get(target) for target in chosen}
+        excluded = {
+            target: owner
+            for target, owner in self._owners.items()
+            if owner.excluded_until > now
+        }
+        current = {target: owner or _Owner(now) for target, owner in kept.items()}
+        self._owners = {**excluded, **current}
         return chosen
 
-    def _is_shunned(self, control: str, now: Millis) -> bool:
-        home = self._homes.get(control)
-        if home is None:
+    def _is_excluded(self, control: str, now: Millis) -> bool:
+        owner = self._owners.get(control)
+        if owner is None:
             return False
-        if home.shunned_until > now:
+        if owner.excluded_until > now:
             return True
-        if home.shunned_until:
-            # Its time is over; it is tried again as if never heard of.
-            del self._homes[control]
+        if owner.excluded_until:
+            # The exclusion has ended; the control is treated like a new one.
+            del self._owners[control]
             return False
-        if now - home.heard_at < self._timing.shun_after:
+        if now - owner.last_message_at < self._timing.exclude_after_ms:
             return False
-        self._homes[control] = _Home(now, now + self._timing.shun_for)
+        self._owners[control] = _Owner(now, now + self._timing.exclude_for_ms)
         return True
 
-    def _heartbeat(self, target: str, now: Millis, asks_list: bool) -> Send:
-        quiet_for = now - self._homes[target].heard_at
-        beat = Heartbeat(
+    def _heartbeat(self, target: str, now: Millis, should_request_list: bool) -> Send:
+        silent_for = now - self._owners[target].last_message_at
+        heartbeat = Heartbeat(
             version=self._own.version,
             announced=self._own.announced,
             load=self._load,
-            controls=controls_digest(self._controls) if asks_list else NO_LIST,
-            reply_wanted=quiet_for >= self._timing.ask_reply,
+            controls=controls_digest(self._controls)
+            if should_request_list
+            else SKIP_CONTROL_LIST,
+            reply_wanted=silent_for >= self._timing.request_reply_after_ms,
         )
-        return Send(target, beat)
+        return Send(target, heartbeat)
 
     def _announcement(self, target: str) -> Send:
         digest = controls_digest(self._controls)
--- a/src/azurefold/core/membership/registry.py
+++ b/src/azurefold/core/membership/registry.py
@@ -1,10 +1,11 @@
-"""Endpoints as a store lists them, and which of them may get new work.
+"""Registry of the endpoints in a store, and which of them may get new work.
 
-The store drops the entry of an endpoint that has been silent for a while.
-While the store itself is away no endpoint can be heard, so entries lapse that
-belong to sound endpoints. Such entries are trusted for a short time longer.
-After its return from an older copy it lists endpoints that have left since. Entries of
-those are withheld until they are written again, or for a short time.
+The store removes the entry of an endpoint that has been silent for a while. During an
+outage of the store it receives no heartbeats, so entries of healthy endpoints lapse
+too. Such entries stay in use for a short grace period.
+
+A store that was restored from an older copy lists endpoints that have left since then.
+Their entries are withheld until they are written again, or for a short time.
 """
 
 from collections.abc import Iterable
@@ -19,53 +20,54 @@
 
 @dataclass(frozen=True, slots=True)
 class RegistryPolicy:
-    """How long entries that lapsed in numbers are trusted.
+    """Grace periods for entries that were removed or brought back in large numbers.
 
     Parameters
     ----------
-    after_outage : int
-        Milliseconds from the store's return, for entries that lapsed in numbers.
-        Sound endpoints are back within about two seconds of it; the rest covers our
-        own delay in noticing.
-    after_mass_removal : int
-        Milliseconds from when the entries were last known to be there, where many
-        went at once and no outage was seen. Less than the two seconds within which a
-        removed endpoint must get no more work.
-    mass_share : float
-        Share of a service's entries whose removal at once is not believed.
-    told : int
-        Milliseconds for which an entry is withheld on another process's word, which is
-        given again at least twice a second.
-    settling : int
-        Milliseconds from when the store's return from an older copy is noticed, within
-        which endpoints write or remove their entries again.
+    outage_grace_ms : int
+        After the end of a store outage, how long to keep many entries that lapsed
+        together. Healthy endpoints register again within about two seconds; the rest
+        covers the delay until this process detects the end.
+    mass_removal_grace_ms : int
+        Without a detected outage, how long to keep many entries that were removed
+        together, from when they were last known to exist. It must be less than the two
+        seconds after which a removed endpoint must get no more work.
+    mass_removal_share : float
+        Share of a service's entries from which a simultaneous removal counts as a mass
+        removal.
+    report_ttl_ms : int
+        How long an entry is withheld because of another process's report. Reports are
+        repeated at least twice a second.
+    recovery_ms : int
+        After a restore of the store is detected, the time within which endpoints write
+        or remove their entries again.
     """
 
-    after_outage: Millis = 2_300
-    after_mass_removal: Millis = 1_500
-    mass_share: float = 0.3
-    told: Millis = 1_200
-    settling: Millis = 2_000
+    outage_grace_ms: Millis = 2_300
+    mass_removal_grace_ms: Millis = 1_500
+    mass_removal_share: float = 0.3
+    report_ttl_ms: Millis = 1_200
+    recovery_ms: Millis = 2_000
 
 
 @dataclass(frozen=True, slots=True)
 class _Withheld:
     entry: EndpointEntry
     is_written: bool
-    told_until: Millis | None = None
+    reported_until: Millis | None = None
 
 
 @dataclass(slots=True)
 class EndpointRegistry:
-    """Entries by name, with those that lapsed and are still trusted.
+    """Entries by name, including lapsed ones that are still in use.
 
     Parameters
     ----------
     policy : RegistryPolicy
     departures : Departures
-        Endpoints that left.
+        Endpoints that have left.
     is_loaded : bool
-        Whether the whole list was ever read.
+        Whether the full list has been read at least once.
     """
 
     policy: RegistryPolicy = field(default_factory=RegistryPolicy)
@@ -74,11 +76,11 @@
     _entries: dict[str, EndpointEntry] = field(default_factory=dict)
     _lapsed_until: dict[str, Millis] = field(default_factory=dict)
     _withheld: dict[str, _Withheld] = field(default_factory=dict)
-    _believed: set[str] = field(default_factory=set)
-    _store_lost: bool = False
-    _trust_until: Millis = 0
-    _settled_at: Millis = 0
-    _is_first_read: bool = False
+    _confirmed: set[str] = field(default_factory=set)
+    _is_store_lost: bool = False
+    _outage_grace_until: Millis = 0
+    _recovered_at: Millis = 0
+    _is_first_read_after_restore: bool = False
 
     @property
     def entries(self) -> dict[str, EndpointEntry]:
@@ -87,50 +89,52 @@
 
     @property
     def leaving(self) -> frozenset[str]:
-        """Endpoints that take no new work."""
+        """Endpoints that accept no new work."""
         return frozenset(name for name, entry in self._entries.items() if entry.leaving)
 
     @property
     def lapsed(self) -> frozenset[str]:
-        """Endpoints whose entries are gone but still trusted."""
+        """Endpoints whose entries were removed but are still in use."""
         return frozenset(self._lapsed_until)
 
     @property
     def withheld(self) -> frozenset[str]:
-        """Endpoints that left, whose entries an older copy has brought back."""
+        """Endpoints that have left, whose entries a restored store contains again."""
         return frozenset(self._withheld)
 
     @property
     def departed(self) -> frozenset[str]:
-        """Those of them that are withheld by this process's own memory."""
+        """The withheld endpoints whose departure this process itself has recorded."""
         return frozenset(
-            name for name, each in self._withheld.items() if each.told_until is None
+            name
+            for name, withheld in self._withheld.items()
+            if withheld.reported_until is None
         )
 
     def on_store_lost(self) -> None:
-        """Note that the store does not answer."""
-        self._store_lost = True
+        """Handle a store that does not answer."""
+        self._is_store_lost = True
 
     def on_store_regained(self, now: Millis) -> None:
-        """Note that the store answers again."""
-        if self._store_lost:
-            self._store_lost = False
-            self._trust_until = now + self.policy.after_outage
+        """Start the grace period once the store answers again."""
+        if self._is_store_lost:
+            self._is_store_lost = False
+            self._outage_grace_until = now + self.policy.outage_grace_ms
 
     def end_outage_grace(self, now: Millis) -> None:
-        """Note that the store was away for this process alone: no entry has lapsed."""
-        if not self._store_lost and now >= self._trust_until:
+        """End the grace period: the store was up, so no removed entry had lapsed."""
+        if not self._is_store_lost and now >= self._outage_grace_until:
             return
-        self._store_lost = False
-        self._trust_until = now
+        self._is_store_lost = False
+        self._outage_grace_until = now
         self._lapsed_until = dict.fromkeys(self._lapsed_until, now)
 
     def on_store_restored(self, now: Millis) -> None:
-        """Note that the store came back from an older copy, not yet read."""
+        """Start the recovery from a restore, before the store is read again."""
         self.departures.on_store_restored()
-        self._settled_at = now + self.policy.settling
-        self._is_first_read = True
-        self._believed.clear()
+        self._recovered_at = now + self.policy.recovery_ms
+        self._is_first_read_after_restore = True
+        self._confirmed.clear()
 
     def replace(
         self,
@@ -138,96 +142,104 @@
         now: Millis,
         known_at: Millis | None = None,
     ) -> list[str]:
-        """Take in the whole list; return those that have started again."""
+        """Apply a full list of entries; return the restarted endpoints."""
         self.is_loaded = True
         listed = {entry.name: entry for entry in entries}
         gone = [name for name in self._entries if name not in listed]
-        if self._is_first_read:
-            self._trust_unlisted(gone, now)
-        if self.departures.is_settling:
-            # Not listed since the return: the copy has lost their entries.
+        if self._is_first_read_after_restore:
+            self._keep_unlisted(gone, now)
+        if self.departures.is_recovering:
+            # Not listed since the restore: the older copy lacks their entries.
             gone = [name for name in gone if name not in self._lapsed_until]
         self.remove(gone, now, known_at)
-        told = {name for name in self._withheld if name not in self.departed}
-        judged = [e for e in listed.values() if e.leaving or e.name not in told]
+        reported = {name for name in self._withheld if name not in self.departed}
+        accepted = [
+            entry
+            for entry in listed.values()
+            if entry.leaving or entry.name not in reported
+        ]
         self._withheld = {
             name: replace(self._withheld[name], entry=listed[name])
-            for name in told & listed.keys()
+            for name in reported & listed.keys()
         }
-        return self._take(judged, is_written=False)
+        return self._apply(accepted, is_written=False)
 
-    def _trust_unlisted(self, names: Iterable[str], now: Millis) -> None:
-        """Keep endpoints that the copy lacks until they have written themselves in."""
-        self._is_first_read = False
+    def _keep_unlisted(self, names: Iterable[str], now: Millis) -> None:
+        """Keep endpoints that a restored store lacks until they register again."""
+        self._is_first_read_after_restore = False
         for name in names:
             if not self._entries[name].leaving:
-                self._lapsed_until.setdefault(name, now + self.policy.after_outage)
+                self._lapsed_until.setdefault(name, now + self.policy.outage_grace_ms)
 
     def put(self, entries: Iterable[EndpointEntry]) -> list[str]:
-        """Take in entries that were written.
+        """Apply newly written entries.
 
-        An entry of an earlier start than the known one changes nothing.
+        An entry from an earlier start than the known one is ignored.
 
         Returns
         -------
         list of str
-            Endpoints that have started again under the name that they had.
+            Endpoints that have restarted under the same name.
         """
         entries = tuple(entries)
-        self._believed.update(entry.name for entry in entries)
-        return self._take(entries, is_written=True)
+        self._confirmed.update(entry.name for entry in entries)
+        return self._apply(entries, is_written=True)
 
     def withhold_reported(self, names: Iterable[str], now: Millis) -> list[str]:
-        """Withhold entries that another process knows to be of an older copy.
+        """Withhold entries that another process reports as departed.
 
-        Entries that this one has seen written since the store's return, or that have
-        outlasted the settling here, are believed all the same.
+        Entries that this process has seen written since the restore, or that still
+        existed here when the recovery ended, stay in use.
 
         Returns
         -------
         list of str
-            Endpoints that were in use until now.
+            Endpoints that were in use before.
         """
-        until = now + self.policy.told
-        taken = []
+        until = now + self.policy.report_ttl_ms
+        withheld = []
         for name in names:
             known = self._withheld.get(name)
-            if known is not None and known.told_until is not None:
-                self._withheld[name] = replace(known, told_until=until)
+            if known is not None and known.reported_until is not None:
+                self._withheld[name] = replace(known, reported_until=until)
             entry = self._entries.get(name)
-            if entry is None or entry.leaving or name in self._believed:
+            if entry is None or entry.leaving or name in self._confirmed:
                 continue
             self._forget(name)
-            self._withheld[name] = _Withheld(entry, is_written=False, told_until=until)
-            taken.append(name)
-        return taken
-
-    def _take(self, entries: Iterable[EndpointEntry], *, is_written: bool) -> list[str]:
+            self._withheld[name] = _Withheld(
+                entry, is_written=False, reported_until=until
+            )
+            withheld.append(name)
+        return withheld
+
+    def _apply(
+        self, entries: Iterable[EndpointEntry], *, is_written: bool
+    ) -> list[str]:
         restarted = []
         for entry in entries:
             known = self._entries.get(entry.name)
             if known is not None and 0 < entry.started_at_ms < known.started_at_ms:
                 continue
-            is_credible = self.departures.is_credible(entry, is_written=is_written)
-            if not (entry.leaving or is_credible):
+            is_entry_current = self.departures.is_current(entry, is_written=is_written)
+            if not (entry.leaving or is_entry_current):
                 self._withheld[entry.name] = _Withheld(entry, is_written)
                 continue
             if known is not None and 0 < known.started_at_ms < entry.started_at_ms:
                 restarted.append(entry.name)
-            self._use(entry)
+            self._activate(entry)
         return restarted
 
-    def _use(self, entry: EndpointEntry) -> None:
+    def _activate(self, entry: EndpointEntry) -> None:
         self._entries[entry.name] = entry
         self._lapsed_until.pop(entry.name, None)
         self._withheld.pop(entry.name, None)
         if entry.leaving:
-            self.departures.note(entry)
+            self.departures.record(entry)
         else:
             self.departures.forget(entry.name)
 
     def drop(self, names: Iterable[str]) -> None:
-        """Forget entries that name no endpoint to use any more."""
+        """Delete entries that no longer describe a usable endpoint."""
         for name in names:
             self._withheld.pop(name, None)
             if name in self._entries:
@@ -236,77 +248,88 @@
     def remove(
         self, names: Iterable[str], now: Millis, known_at: Millis | None = None
     ) -> None:
-        """Take in entries that were removed at one time.
+        """Apply the simultaneous removal of entries.
 
         Parameters
         ----------
         names : iterable of str
         now : int
         known_at : int, optional
-            When they were last known to be there; by default now.
+            When the entries were last known to exist; by default now.
         """
         removed = tuple(names)
         for name in removed:
             self._withheld.pop(name, None)
         gone = [name for name in removed if name in self._entries]
         since = now if known_at is None else known_at
-        trusted = {name: self._trusted_until(name, gone, now, since) for name in gone}
-        for name, until in trusted.items():
-            self.departures.note(self._entries[name])
+        kept_until = {name: self._keep_until(name, gone, now, since) for name in gone}
+        for name, until in kept_until.items():
+            self.departures.record(self._entries[name])
             if until <= now:
                 self._forget(name)
             else:
                 self._lapsed_until.setdefault(name, until)
 
     def tick(self, now: Millis) -> list[str]:
-        """Drop entries that are trusted no longer, and use those that have proved true.
+        """Delete entries whose grace period has ended, and release withheld ones.
 
         Returns
         -------
         list of str
-            Endpoints that were dropped or are used again.
+            Endpoints that were deleted or are in use again.
         """
-        over = [name for name, until in self._lapsed_until.items() if until <= now]
-        for name in over:
+        expired = [name for name, until in self._lapsed_until.items() if until <= now]
+        for name in expired:
             self._forget(name)
-        if self.departures.is_settling and now >= self._settled_at:
-            self.departures.settled()
-        proved = [each for each in self._withheld.values() if self._is_over(each, now)]
-        for each in proved:
-            self._use(each.entry)
-            if each.told_until is None:
-                self._believed.add(each.entry.name)
-        return over + [each.entry.name for each in proved]
-
-    def _is_over(self, withheld: _Withheld, now: Millis) -> bool:
-        if withheld.told_until is not None:
-            return withheld.told_until <= now
-        return self.departures.is_credible(
+        if self.departures.is_recovering and now >= self._recovered_at:
+            self.departures.end_recovery()
+        released = [
+            withheld
+            for withheld in self._withheld.values()
+            if self._should_release(withheld, now)
+        ]
+        for withheld in released:
+            self._activate(withheld.entry)
+            if withheld.reported_until is None:
+                self._confirmed.add(withheld.entry.name)
+        return expired + [withheld.entry.name for withheld in released]
+
+    def _should_release(self, withheld: _Withheld, now: Millis) -> bool:
+        if withheld.reported_until is not None:
+            return withheld.reported_until <= now
+        return self.departures.is_current(
             withheld.entry, is_written=withheld.is_written
         )
 
-    def _trusted_until(
+    def _keep_until(
         self, name: str, gone: list[str], now: Millis, since: Millis
     ) -> Millis:
-        # What goes wrong without: the store was away for longer than three
-        # heartbeats, every entry has lapsed, and on its return each node drops
-        # all endpoints at once. Seen as refusals for want of endpoints for the
-        # two seconds until the engines have written themselves in again.
+        # After a store outage of more than three heartbeats all entries have lapsed.
+        # Without a grace period each node would drop all endpoints when the store
+        # returns, and refuse requests for lack of endpoints for the two seconds until
+        # the engines have registered again.
         entry = self._entries[name]
         if entry.leaving:
             return now
-        held = sum(
-            1 for each in self._entries.values() if each.service == entry.service
+        entry_count = sum(
+            1 for other in self._entries.values() if other.service == entry.service
+        )
+        removed_count = sum(
+            1 for other in gone if self._entries[other].service == entry.service
+        )
+        is_mass_removal = (
+            removed_count > 1
+            and removed_count >= self.policy.mass_removal_share * entry_count
         )
-        lost = sum(1 for each in gone if self._entries[each].service == entry.service)
-        in_numbers = lost > 1 and lost >= self.policy.mass_share * held
-        if now < self._trust_until and (in_numbers or lost == held):
-            return self._trust_until
-        if in_numbers:
-            return since + self.policy.after_mass_removal
+        if now < self._outage_grace_until and (
+            is_mass_removal or removed_count == entry_count
+        ):
+            return self._outage_grace_until
+        if is_mass_removal:
+            return since + self.policy.mass_removal_grace_ms
         return now
 
     def _forget(self, name: str) -> None:
         del self._entries[name]
         self._lapsed_until.pop(name, None)
-        self._believed.discard(name)
+        self._confirmed.discard(name)
--- a/src/azurefold/core/membership/snapshot.py
+++ b/src/azurefold/core/membership/snapshot.py
@@ -1,4 +1,4 @@
-"""What a control process shows the entry process beside it."""
+"""Snapshot of all endpoints for the entry process."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
@@ -6,22 +6,24 @@
 from azurefold.core.membership.endpoints import Endpoint, Role, State
 from azurefold.core.membership.vm_list import VmList
 
-__all__ = ["Shown", "show"]
+__all__ = ["SnapshotEntry", "build_snapshot"]
 
 
 @dataclass(frozen=True, slots=True)
-class Shown:
-    """One line of a snapshot.
+class SnapshotEntry:
+    """One endpoint in a snapshot.
 
     Parameters
     ----------
     record : Endpoint
-        What is known of the endpoint.
+        The merged record of the endpoint.
     state : State
-        What to take it for; the list of VMs may hold back a serving one.
+        Effective state. A serving endpoint whose VM is listed as leaving counts as
+        leaving.
     load : int
-        The load last heard here, in hundredths; only the endpoint's homes
-        hear it with each heartbeat.
+        Latest load received here, in hundredths of its capacity. Only the endpoint's
+        owners receive it with each heartbeat; other controls have the load of its last
+        announcement.
     """
 
     record: Endpoint
@@ -29,16 +31,18 @@
     load: int
 
 
-def show(
+def build_snapshot(
     records: Iterable[Endpoint], vm_list: VmList, loads: Mapping[str, int]
-) -> tuple[Shown, ...]:
-    """Return all endpoints as the entry process should take them."""
+) -> tuple[SnapshotEntry, ...]:
+    """Return an entry for each endpoint, without control processes."""
     endpoints = (record for record in records if record.role is Role.ENDPOINT)
-    return tuple(_shown(record, vm_list, loads) for record in endpoints)
+    return tuple(_to_entry(record, vm_list, loads) for record in endpoints)
 
 
-def _shown(record: Endpoint, vm_list: VmList, loads: Mapping[str, int]) -> Shown:
+def _to_entry(
+    record: Endpoint, vm_list: VmList, loads: Mapping[str, int]
+) -> SnapshotEntry:
     state = record.state
-    if state is State.SERVING and vm_list.says_leaving(record):
+    if state is State.SERVING and vm_list.is_leaving(record):
         state = State.LEAVING
-    return Shown(record, state, loads.get(record.name, record.load))
+    return SnapshotEntry(record, state, loads.get(record.name, record.load))
--- a/src/azurefold/core/membership/store_era.py
+++ b/src/azurefold/core/membership/store_era.py
@@ -1,8 +1,8 @@
-"""Eras of a store that may come back from a copy some seconds old.
+"""Eras of a store that may be restored from a copy some seconds old.
 
-Versions are given out again in each era. A reader that goes on from a version of an
-earlier one is told of other changes than those that it has missed, without a complaint
-once the store has passed that version again.
+The store assigns the same versions again in each era. A reader that continues from a
+version of an earlier era would receive other changes than those it has missed. Once the
+store has passed that version again, it reports no error.
 """
 
 from dataclasses import dataclass
@@ -12,28 +12,28 @@
 
 @dataclass(slots=True)
 class StoreEra:
-    """The era that one reader's knowledge of the store is of.
+    """The era that one reader's data of the store belongs to.
 
     Parameters
     ----------
     number : int or None
-        None until an answer has told it.
+        None until the first answer that contains an era.
     """
 
     number: int | None = None
 
-    def advance_to(self, told: int | None) -> bool:
-        """Whether an answer is of a later era; it is the reader's from now on.
+    def advance_to(self, era: int | None) -> bool:
+        """Adopt the era of an answer; return whether an earlier one has ended.
 
-        An answer that tells no era is none of a later one.
+        An answer without an era is assumed to belong to the present one.
 
         Examples
         --------
-        >>> era = StoreEra()
-        >>> [era.advance_to(told) for told in (3, None, 3, 4, 4, 2)]
+        >>> store_era = StoreEra()
+        >>> [store_era.advance_to(era) for era in (3, None, 3, 4, 4, 2)]
         [False, False, False, True, False, False]
         """
-        if told is None or (self.number is not None and told <= self.number):
+        if era is None or (self.number is not None and era <= self.number):
             return False
-        is_first, self.number = self.number is None, told
+        is_first, self.number = self.number is None, era
         return not is_first
--- a/src/azurefold/core/membership/table_refresh.py
+++ b/src/azurefold/core/membership/table_refresh.py
@@ -1,9 +1,9 @@
-"""When a process asks the store anew for a table, beside its feed.
+"""When a process reads a table from the store again, in addition to its feed.
 
-Of the processes that tell each other what they know, one has the store's answer in each
-turn: their feeds' calls end one after the other, by the store's clock. Whoever has had
-no evidence for longer, or hears of something newer, asks on a new connection for an
-answer at once.
+Processes exchange watermarks, and their long polls of the feed end in staggered slots
+of the store's clock, so one process has an answer of the store in each slot. A process
+whose last confirmation is too old, or that receives a watermark newer than its own
+table, requests an immediate answer over a new connection.
 """
 
 from dataclasses import dataclass
@@ -20,19 +20,19 @@
     "refresh_times",
 ]
 
-_TURN_SHARE = 0.35
-_AGED_SHARE = 0.475
-_SPREAD_SHARE = 0.15
-"""Of the time within which a confirmed change has to be in force. The last two leave
-three eighths of it for the look, the call, and what the answer changes."""
+_SLOT_SHARE = 0.35
+_MAX_AGE_SHARE = 0.475
+_MAX_JITTER_SHARE = 0.15
+"""Shares of the time within which a confirmed change has to be in effect. The last two
+leave three eighths of it for the check, the call and applying the answer."""
 
-_BEHIND_FOR_MS: Millis = 500
-"""Changes reach all processes within 250 ms of each other: one that is behind for so
-long is not just about to be told."""
+_MIN_BEHIND_MS: Millis = 500
+"""Changes reach all processes within 250 ms of each other. A process that is behind for
+longer has missed a change and is not just about to receive it."""
 
 
 class RefreshReason(StrEnum):
-    """Why a table is asked for anew."""
+    """Reason to read a table again."""
 
     BEHIND = "behind"
     STILL_BEHIND = "still_behind"
@@ -41,17 +41,18 @@
 
 @dataclass(frozen=True, slots=True)
 class RefreshTimes:
-    """How old what is known of a table may grow, in milliseconds.
+    """Limits of the age of a table's local copy, in milliseconds.
 
     Parameters
     ----------
     slot_ms : int
-        Between two answers of the store to processes that tell each other.
+        Interval between two answers of the store to processes that exchange watermarks.
     max_age_ms : int
-        At which a process asks anew, at the earliest. Who is told of an answer within
-        the rest of this time after a turn needs not ask.
+        Age from which a process refreshes its copy. A process that receives a watermark
+        in the remainder of this time after a poll slot does not have to refresh.
     max_jitter_ms : int
-        Longest drawn time more: who asks first tells the others within it.
+        Maximum random addition to ``max_age_ms``. Within it the first process to
+        refresh sends its watermark to the others.
     """
 
     slot_ms: Millis
@@ -60,12 +61,12 @@
 
 
 def refresh_times(bound_ms: Millis) -> RefreshTimes:
-    """Return the times of a site.
+    """Return the limits for a site.
 
     Parameters
     ----------
     bound_ms : int
-        Within which a confirmed change has to be in force.
+        Time within which a confirmed change has to be in effect.
 
     Examples
     --------
@@ -73,40 +74,40 @@
     RefreshTimes(slot_ms=700, max_age_ms=950, max_jitter_ms=300)
     """
     return RefreshTimes(
-        round(_TURN_SHARE * bound_ms),
-        round(_AGED_SHARE * bound_ms),
-        round(_SPREAD_SHARE * bound_ms),
+        round(_SLOT_SHARE * bound_ms),
+        round(_MAX_AGE_SHARE * bound_ms),
+        round(_MAX_JITTER_SHARE * bound_ms),
     )
 
 
-_USUAL_TIMES = refresh_times(2_000)
+_DEFAULT_TIMES = refresh_times(2_000)
 
 
 @dataclass(frozen=True, slots=True)
 class PollSlot:
-    """A process's place among those that tell each other what they know.
+    """A process's poll slot among the processes that exchange watermarks.
 
     Parameters
     ----------
     index : int
-        From 0.
+        Index of the slot, from 0.
     count : int
-        How many there are, this one included.
+        Number of processes, including this one.
     slot_ms : int
-        Between two turns.
+        Interval between two slots.
     """
 
     index: int = 0
     count: int = 1
-    slot_ms: Millis = _USUAL_TIMES.slot_ms
+    slot_ms: Millis = _DEFAULT_TIMES.slot_ms
 
     def poll_wait_ms(self, store_now: Millis | None) -> Millis:
-        """Return how long the store should keep a feed's call with nothing to tell.
+        """Return how long the store should hold a feed's call without changes.
 
         Parameters
         ----------
         store_now : int or None
-            The store's time; None if it isn't known.
+            The store's time; None if unknown.
 
         Examples
         --------
@@ -117,15 +118,15 @@
         """
         if store_now is None:
             return self.slot_ms
-        until_turn = (self.slot_ms * self.index - store_now) % (
+        until_slot = (self.slot_ms * self.index - store_now) % (
             self.slot_ms * self.count
         )
-        return until_turn or self.slot_ms * self.count
+        return until_slot or self.slot_ms * self.count
 
 
 @dataclass(slots=True)
 class RefreshScheduler:
-    """Decides when one table is asked for anew.
+    """Decides when one table is read again.
 
     Parameters
     ----------
@@ -134,50 +135,52 @@
     """
 
     freshness: TableFreshness
-    times: RefreshTimes = _USUAL_TIMES
+    times: RefreshTimes = _DEFAULT_TIMES
     _behind_since: Millis | None = None
-    _asked_at: tuple[int, int] | None = None
-    _spread: float | None = None
+    _version_at_last_refresh: tuple[int, int] | None = None
+    _jitter: float | None = None
 
     def check(
         self, now: Millis, store_now: Millis | None, draw: float
     ) -> RefreshReason | None:
-        """Return why the table has to be asked for now; None if it has not.
+        """Return why the table has to be read now; None if it does not.
 
         Parameters
         ----------
         now : int
-            By the process's own clock.
+            Time of the process's own clock.
         store_now : int or None
-            The store's time; None if it isn't known.
+            The store's time; None if unknown.
         draw : float
-            From [0, 1), for the next time at which the table counts as aged.
+            Random number from [0, 1) for the jitter of the next refresh.
         """
-        if self._spread is None:
-            self._spread = draw
-        why = self._behind(now)
-        if why is None and self._is_aged(store_now):
-            why = RefreshReason.AGED
-        if why is not None:
-            self._spread = draw
-        return why
-
-    def _behind(self, now: Millis) -> RefreshReason | None:
+        if self._jitter is None:
+            self._jitter = draw
+        reason = self._check_behind(now)
+        if reason is None and self._is_stale(store_now):
+            reason = RefreshReason.AGED
+        if reason is not None:
+            self._jitter = draw
+        return reason
+
+    def _check_behind(self, now: Millis) -> RefreshReason | None:
         if not self.freshness.is_behind:
             self._behind_since = None
             return None
         if self._behind_since is None:
             self._behind_since = now
-        if now - self._behind_since < _BEHIND_FOR_MS:
+        if now - self._behind_since < _MIN_BEHIND_MS:
             return None
         self._behind_since = now
-        held = (self.freshness.era, self.freshness.applied_version)
-        before, self._asked_at = self._asked_at, held
-        return RefreshReason.STILL_BEHIND if before == held else RefreshReason.BEHIND
+        version = (self.freshness.era, self.freshness.applied_version)
+        previous, self._version_at_last_refresh = self._version_at_last_refresh, version
+        return (
+            RefreshReason.STILL_BEHIND if previous == version else RefreshReason.BEHIND
+        )
 
-    def _is_aged(self, store_now: Millis | None) -> bool:
+    def _is_stale(self, store_now: Millis | None) -> bool:
         if store_now is None or self.freshness.confirmed_at is None:
             return False
         age = self.freshness.age(store_now)
-        max_age_ms = self.times.max_age_ms + self.times.max_jitter_ms * self._spread
+        max_age_ms = self.times.max_age_ms + self.times.max_jitter_ms * self._jitter
         return age is None or age >= max_age_ms
--- a/src/azurefold/core/membership/tombstones.py
+++ b/src/azurefold/core/membership/tombstones.py
@@ -1,4 +1,4 @@
-"""Records of gone endpoints, kept for a while against late news of them."""
+"""Retention of the records of gone endpoints, against delayed messages."""
 
 from azurefold.core.clock import Millis
 from azurefold.core.membership.endpoints import Endpoint, State
@@ -7,32 +7,33 @@
 
 
 class Tombstones:
-    """Since when endpoints have been gone.
+    """Times at which endpoints were declared gone.
 
-    Were a record dropped at once, a datagram still under way would bring the
-    endpoint back as if it were new, and its leaving would be forgotten.
+    The record of a gone endpoint is kept for a while. If it were deleted at once, a
+    delayed datagram would add the endpoint again as new, without the information that
+    it was leaving.
 
     Parameters
     ----------
-    keep_for : int
-        How long to keep the record of a gone endpoint, in milliseconds.
+    retention_ms : int
+        How long to keep the record of a gone endpoint.
     """
 
-    def __init__(self, keep_for: Millis) -> None:
-        self._keep_for = keep_for
+    def __init__(self, retention_ms: Millis) -> None:
+        self._retention_ms = retention_ms
         self._gone_since: dict[str, Millis] = {}
 
-    def note(self, record: Endpoint, now: Millis) -> None:
-        """Note a record that has changed."""
+    def update(self, record: Endpoint, now: Millis) -> None:
+        """Start or end the retention for a record that has changed."""
         if record.state is State.GONE:
             self._gone_since.setdefault(record.name, now)
         else:
             self._gone_since.pop(record.name, None)
 
-    def take_due(self, now: Millis) -> list[str]:
-        """Return the names to forget now, and forget them here."""
+    def pop_expired(self, now: Millis) -> list[str]:
+        """Remove and return the names whose retention has ended."""
         gone = self._gone_since.items()
-        due = [name for name, since in gone if now - since >= self._keep_for]
-        for name in due:
+        expired = [name for name, since in gone if now - since >= self._retention_ms]
+        for name in expired:
             del self._gone_since[name]
-        return due
+        return expired
--- a/src/azurefold/core/membership/vm_list.py
+++ b/src/azurefold/core/membership/vm_list.py
@@ -1,9 +1,10 @@
-"""What the platform's list of VMs adds to what endpoints say themselves.
+"""The platform's list of VMs, as a supplement to the endpoints' own reports.
 
-The list lags, so it is never believed against a heartbeat. It may name an
-endpoint not heard of yet, keep new work from a VM that is about to leave, and
-shorten the wait for a silent one that it has dropped. Of these only the first
-becomes a record, of incarnation 0, which any word from the endpoint replaces.
+The list lags behind, so a heartbeat always takes precedence over it. The list is used
+for three things: to add endpoints that have not reported yet, to stop new work to a VM
+that is about to leave, and to shorten the timeout of a silent endpoint that is no
+longer listed. Only the first creates a record. It has incarnation 0, so any message
+from the endpoint itself replaces it.
 """
 
 from collections.abc import Iterable
@@ -16,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedVm:
-    """One line of the list.
+    """One VM in the list.
 
     Parameters
     ----------
@@ -25,9 +26,9 @@
     address, udp_port : str, int
         As in :class:`Endpoint`.
     leaving : bool
-        Whether the platform is about to take the VM away.
+        Whether the platform is about to remove the VM.
     service : str
-        The service it was started for, if the list tells.
+        The service that the VM was started for; empty if the list does not contain it.
     """
 
     name: str
@@ -38,12 +39,12 @@
 
 
 def record_from_vm(vm: ListedVm) -> Endpoint:
-    """Return a record that any word from the endpoint itself replaces."""
+    """Return a record of incarnation 0, which any report of the endpoint replaces."""
     return Endpoint(vm.name, 0, vm.address, vm.udp_port, service=vm.service)
 
 
 class VmList:
-    """The list last read."""
+    """The most recently read list of VMs."""
 
     def __init__(self) -> None:
         self._vms: dict[str, ListedVm] = {}
@@ -51,24 +52,24 @@
 
     @property
     def dropped(self) -> frozenset[str]:
-        """Names that were listed once and are not now."""
+        """Names that were listed before and no longer are."""
         return self._dropped
 
     def replace(self, vms: Iterable[ListedVm]) -> None:
-        """Take a newly read list."""
+        """Replace the list by a newly read one."""
         listed = {vm.name: vm for vm in vms}
         self._dropped = (self._dropped | self._vms.keys()) - listed.keys()
         self._vms = listed
 
     def forget(self, name: str) -> None:
-        """Drop what was kept of an endpoint whose record is forgotten."""
+        """Remove ``name`` from the dropped names once its record is deleted."""
         self._dropped -= {name}
 
-    def says_leaving(self, record: Endpoint) -> bool:
-        """Return whether the list takes this very VM for leaving.
+    def is_leaving(self, record: Endpoint) -> bool:
+        """Return whether the VM of this record is listed as leaving.
 
-        A lagging list may still show the VM that had the name before; its
-        address tells the two apart.
+        A lagging list may still contain the previous VM of the same name, so the
+        addresses are compared too.
         """
         vm = self._vms.get(record.name)
         return vm is not None and vm.leaving and vm.address == record.address
--- a/tests/core/membership/test_lapsed_entries.py
+++ b/tests/core/membership/test_lapsed_entries.py
@@ -1,4 +1,4 @@
-"""Entries that lapse with the store away are kept; removed ones are not."""
+"""Entries that lapse during a store outage are kept; removed entries are not."""
 
 import pytest
 
@@ -21,17 +21,16 @@
     return set(registry.entries)
 
 
-def test_one_removed_entry_is_gone_at_once(registry):
+def test_a_single_removed_entry_is_deleted_immediately(registry):
     registry.remove(["e1"], now=10)
     assert "e1" not in names(registry)
 
 
-def test_all_entries_lapsed_in_an_outage_are_kept_until_they_are_back(registry):
-    """After an outage of the store every request is refused for want of endpoints.
+def test_entries_that_lapsed_in_an_outage_are_kept_for_the_grace_period(registry):
+    """Guards against refusing all requests for lack of endpoints after an outage.
 
-    The store was away for longer than three heartbeats, so all entries lapsed.
-    On its return the feed tells that all are gone, and the endpoints write
-    themselves in again only within the next two seconds.
+    The outage lasts longer than three heartbeats, so all entries lapse. The feed then
+    reports them all as removed, and the endpoints register again within two seconds.
     """
     registry.on_store_lost()
     registry.on_store_regained(now=1_000)
@@ -43,7 +42,7 @@
     assert len(names(registry)) == 9
 
 
-def test_a_leaving_endpoint_whose_entry_goes_is_gone_also_after_an_outage(registry):
+def test_a_leaving_endpoint_has_no_grace_period_after_an_outage(registry):
     registry.put([entry(3, leaving=True)])
     registry.on_store_lost()
     registry.on_store_regained(now=1_000)
@@ -51,37 +50,37 @@
     assert "e3" not in names(registry)
 
 
-def test_many_removals_at_once_are_not_believed_at_once(registry):
+def test_a_mass_removal_has_a_grace_period(registry):
     registry.remove([f"e{number}" for number in range(5)], now=10)
     assert len(names(registry)) == 10
     registry.tick(now=1_510)
     assert len(names(registry)) == 5
 
 
-def test_a_snapshot_drops_what_it_lacks(registry):
+def test_a_full_list_removes_unlisted_entries(registry):
     registry.replace([entry(number) for number in range(9)], now=10)
     assert names(registry) == {f"e{number}" for number in range(9)}
 
 
-def test_a_removal_long_after_an_outage_is_believed(registry):
+def test_a_removal_long_after_an_outage_is_applied_immediately(registry):
     registry.on_store_lost()
     registry.on_store_regained(now=1_000)
     registry.remove(["e1"], now=9_000)
     assert "e1" not in names(registry)
 
 
-def test_entries_that_return_are_no_longer_doubted(registry):
+def test_entries_that_are_written_again_have_no_grace_period(registry):
     registry.remove([f"e{number}" for number in range(5)], now=10)
     registry.put([entry(number) for number in range(5)])
     assert registry.lapsed == frozenset()
     assert registry.tick(now=10_000) == []
 
 
-def test_two_entries_of_many_removed_at_once_are_gone(registry):
-    """A follower of the list of endpoints fails, and the removals are lost.
+def test_two_of_many_entries_removed_together_are_deleted(registry):
+    """Guards against a failing follower that loses the removals of one change.
 
-    Two entries were removed in one change. The first was dropped while the
-    second was still being judged by a look at both.
+    Two entries are removed in one change, and the first one was deleted before the
+    check of the second one, which counts both.
     """
     registry.remove(["e1", "e2"], now=10)
     assert names(registry) == {f"e{number}" for number in (0, *range(3, 10))}
--- a/tests/core/membership/test_leaving.py
+++ b/tests/core/membership/test_leaving.py
@@ -1,4 +1,4 @@
-"""A leaving endpoint refuses new work at once and cuts no work off."""
+"""A leaving endpoint refuses new work immediately and finishes work in flight."""
 
 import pytest
 from hypothesis import given
@@ -7,14 +7,14 @@
 from azurefold.core.membership.endpoints import Endpoint, State
 from azurefold.core.membership.leaving import (
     Admitted,
-    Finished,
-    Leaving,
+    DrainFinished,
+    Draining,
     Refused,
-    WorkLoad,
-    admit,
-    begin_leaving,
-    finish,
-    progress,
+    WorkState,
+    admit_work,
+    drain_progress,
+    finish_work,
+    start_leaving,
 )
 from azurefold.core.membership.messages import Announcement, Probe, Reply
 from azurefold.core.membership.presence import Presence
@@ -23,32 +23,32 @@
 
 
 @given(EVENTS)
-def test_nothing_is_admitted_once_leaving_and_all_admitted_is_finished(events):
-    load, admitted, finished, leaving = WorkLoad(), 0, 0, False
+def test_leaving_refuses_new_work_and_drains_admitted_work(events):
+    work, admitted, finished, is_leaving = WorkState(), 0, 0, False
     for now, event in enumerate(events):
         if event == "leave":
-            load, leaving = begin_leaving(load, now), True
-        elif event == "finish" and load.in_flight:
-            load, finished = finish(load), finished + 1
+            work, is_leaving = start_leaving(work, now), True
+        elif event == "finish" and work.in_flight:
+            work, finished = finish_work(work), finished + 1
         elif event == "admit":
-            result = admit(load)
-            assert isinstance(result, Refused if leaving else Admitted)
+            result = admit_work(work)
+            assert isinstance(result, Refused if is_leaving else Admitted)
             if isinstance(result, Admitted):
-                load, admitted = result.load, admitted + 1
-    is_done = isinstance(progress(load, len(events)), Finished)
-    assert is_done == (leaving and admitted == finished)
+                work, admitted = result.work, admitted + 1
+    is_done = isinstance(drain_progress(work, len(events)), DrainFinished)
+    assert is_done == (is_leaving and admitted == finished)
 
 
-def test_tells_how_far_leaving_has_come():
-    load = begin_leaving(WorkLoad(in_flight=2), now=100)
-    assert progress(load, 350) == Leaving(in_flight=2, for_ms=250)
-    assert load.state is State.LEAVING
-    assert finish(finish(load)).state is State.GONE
+def test_drain_progress_counts_work_in_flight():
+    work = start_leaving(WorkState(in_flight=2), now=100)
+    assert drain_progress(work, 350) == Draining(in_flight=2, elapsed_ms=250)
+    assert work.state is State.LEAVING
+    assert finish_work(finish_work(work)).state is State.GONE
 
 
 def test_work_cannot_be_finished_twice():
     with pytest.raises(ValueError, match="finished twice"):
-        finish(WorkLoad())
+        finish_work(WorkState())
 
 
 @pytest.fixture
@@ -57,7 +57,7 @@
     return Presence(own, 0, seeds=("10.1.0.1:7002",))
 
 
-def test_leaving_is_announced_at_once_and_repeated(presence):
+def test_leaving_is_announced_immediately_and_repeated(presence):
     presence.announce(State.SERVING, 0)
     sends = presence.announce(State.LEAVING, 100)
     assert [send.message.record.state for send in sends] == [State.LEAVING]
@@ -65,38 +65,38 @@
     assert presence.tick(850)[0].message.announced is State.LEAVING
 
 
-def test_leaving_cannot_be_taken_back(presence):
+def test_leaving_cannot_be_undone(presence):
     presence.announce(State.LEAVING, 0)
     assert presence.announce(State.SERVING, 100) == []
     assert presence.own.state is State.LEAVING
 
 
-def test_a_probe_is_answered_to_the_prober_without_asking_for_a_list(presence):
+def test_a_probe_is_answered_without_requesting_the_control_list(presence):
     (send,) = presence.receive(Probe(), "10.1.0.9:7002", 0)
     assert send.to == "10.1.0.9:7002"
     assert send.message == Announcement(presence.own)
 
 
 def _run(presence, start, until, answering=()):
-    reached = set()
+    recipients = set()
     for now in range(start, until, 250):
         for send in presence.tick(now):
-            reached.add(send.to)
+            recipients.add(send.to)
             if send.to in answering:
                 presence.receive(Reply(), send.to, now)
-    return reached
+    return recipients
 
 
-def test_mute_homes_are_left_and_tried_again_later(presence):
-    """Both homes of an endpoint die in one rack's failure.
+def test_silent_owners_are_excluded_and_retried_later(presence):
+    """Guards against an endpoint that keeps reporting to failed controls.
 
-    Symptom: the endpoint reports to the dead and is declared gone. Sequence:
-    both die, nobody is left to tell the endpoint. Cause: no reply was missed.
+    Both owners fail in one rack failure, so no control is left to send a new list, and
+    the endpoint is declared gone unless it reacts to the missing replies.
     """
     controls = tuple(f"10.1.0.{n}:7002" for n in range(1, 5))
     presence.receive(Reply(controls), controls[0], 0)
-    first = _run(presence, 0, 10_000)
-    assert len(first) == 2
-    others = set(controls) - first
-    assert _run(presence, 30_000, 60_000, answering=others) == others
-    assert first <= _run(presence, 80_000, 140_000, answering=others)
+    failed = _run(presence, 0, 10_000)
+    assert len(failed) == 2
+    live = set(controls) - failed
+    assert _run(presence, 30_000, 60_000, answering=live) == live
+    assert failed <= _run(presence, 80_000, 140_000, answering=live)
--- a/tests/core/membership/test_membership_machine.py
+++ b/tests/core/membership/test_membership_machine.py
@@ -1,7 +1,8 @@
-"""Membership holds its promises whatever happens to datagrams and processes.
+"""Stateful test of the membership invariants under network and process faults.
 
-Hypothesis draws losses, delays, doubles, reorderings, restarts, pauses,
-network partitions and lagging lists of VMs, and checks after each step.
+Hypothesis generates loss, delay, duplication and reordering of datagrams, restarts and
+pauses of processes, network partitions and lagging lists of VMs. The invariants are
+checked after each step.
 """
 
 from dataclasses import replace
@@ -27,10 +28,10 @@
 
 CONTROLS, ENDPOINTS = 3, 3
 TIMING = Timing()
-ROUNDS_TO_AGREE = 240
-STEPS = st.sampled_from([250, 1_000, 2_000, 5_000, 12_000])
-LISTED = ("live", "leaving", "missing")
-MUTANT = settings(
+ROUNDS_TO_CONVERGE = 240
+TIME_STEPS_MS = st.sampled_from([250, 1_000, 2_000, 5_000, 12_000])
+VM_LISTINGS = ("live", "leaving", "missing")
+MUTANT_SETTINGS = settings(
     max_examples=300,
     stateful_step_count=30,
     derandomize=True,
@@ -45,9 +46,9 @@
     def __init__(self):
         super().__init__()
         self.network = VirtualNetwork(make_directory=self.make_directory)
-        self.heard_leaving = set()
-        self.history = []
-        self.heard_at = {}
+        self.seen_leaving = set()
+        self.announcements = []
+        self.last_message_at = {}
 
     @initialize()
     def start(self):
@@ -61,28 +62,28 @@
             self.network.tick()
             while self.network.in_flight:
                 self.deliver_all()
-                self.what_is_heard_is_not_declared_gone()
+                self.endpoints_with_recent_messages_are_not_gone()
 
     def _deliver(self, datagram):
         if isinstance(datagram.message, Announcement):
-            self.history.append(datagram)
+            self.announcements.append(datagram)
         node = self.network.nodes.get(datagram.to)
         self.network.deliver(datagram)
         if node is None or node.paused or not node.is_control:
             return
         if not self.network.is_cut(datagram.source.origin, datagram.to):
             source = (datagram.source.name, datagram.source.incarnation)
-            self.heard_at[node.record, source] = self.network.now
+            self.last_message_at[node.record, source] = self.network.now
 
-    @rule(by=STEPS)
-    def time_passes(self, by):
-        self.network.now += by
+    @rule(duration_ms=TIME_STEPS_MS)
+    def advance_time(self, duration_ms):
+        self.network.now += duration_ms
         self.network.tick()
 
     @rule(data=st.data())
     @precondition(lambda self: self.network.in_flight)
     def deliver_one(self, data):
-        self._deliver(self.network.in_flight.pop(self._draw_place(data)))
+        self._deliver(self.network.in_flight.pop(self._draw_index(data)))
 
     @rule()
     def deliver_all(self):
@@ -91,7 +92,7 @@
             self._deliver(datagram)
 
     @rule()
-    def deliver_backward(self):
+    def deliver_in_reverse(self):
         batch, self.network.in_flight = self.network.in_flight, []
         for datagram in reversed(batch):
             self._deliver(datagram)
@@ -99,48 +100,52 @@
     @rule(data=st.data())
     @precondition(lambda self: self.network.in_flight)
     def lose_one(self, data):
-        self.network.in_flight.pop(self._draw_place(data))
+        self.network.in_flight.pop(self._draw_index(data))
 
     @rule(data=st.data())
     @precondition(lambda self: self.network.in_flight)
-    def double_one(self, data):
-        place = self._draw_place(data)
-        self.network.in_flight.append(self.network.in_flight[place])
-
-    @rule(which=st.integers(0, ENDPOINTS - 1))
-    def deliver_all_ever_announced_backward(self, which):
-        origin = self.endpoints[which]
-        late = [each for each in self.history if each.source.origin == origin]
-        for datagram in reversed(late):
+    def duplicate_one(self, data):
+        index = self._draw_index(data)
+        self.network.in_flight.append(self.network.in_flight[index])
+
+    @rule(number=st.integers(0, ENDPOINTS - 1))
+    def redeliver_announcements_in_reverse(self, number):
+        origin = self.endpoints[number]
+        delayed = [
+            datagram
+            for datagram in self.announcements
+            if datagram.source.origin == origin
+        ]
+        for datagram in reversed(delayed):
             self._deliver(datagram)
 
-    def _draw_place(self, data):
+    def _draw_index(self, data):
         return data.draw(st.integers(0, len(self.network.in_flight) - 1))
 
-    @rule(which=st.integers(0, ENDPOINTS - 1), state=st.sampled_from([2, 3]))
-    def leave(self, which, state):
-        address = self.endpoints[which]
+    @rule(number=st.integers(0, ENDPOINTS - 1), state=st.sampled_from([2, 3]))
+    def leave(self, number, state):
+        address = self.endpoints[number]
         node = self.network.nodes.get(address)
         if node is not None and not node.paused:
             sends = node.machine.announce(State(state), self.network.now)
             self.network.post(address, sends)
 
-    @rule(which=st.integers(0, ENDPOINTS - 1))
-    def leave_and_be_heard(self, which):
-        self.leave(which, State.LEAVING)
+    @rule(number=st.integers(0, ENDPOINTS - 1))
+    def leave_and_deliver(self, number):
+        self.leave(number, State.LEAVING)
         self.deliver_all()
 
     @rule(data=st.data())
-    def die(self, data):
+    def stop_process(self, data):
         self.network.remove(data.draw(st.sampled_from(self._addresses())))
 
-    @rule(which=st.integers(0, ENDPOINTS - 1))
-    def restart_endpoint(self, which):
-        self.network.add_endpoint(which)
+    @rule(number=st.integers(0, ENDPOINTS - 1))
+    def restart_endpoint(self, number):
+        self.network.add_endpoint(number)
 
-    @rule(which=st.integers(0, CONTROLS - 1))
-    def restart_control(self, which):
-        self.network.add_control(which)
+    @rule(number=st.integers(0, CONTROLS - 1))
+    def restart_control(self, number):
+        self.network.add_control(number)
 
     @rule(data=st.data())
     def pause(self, data):
@@ -158,17 +163,17 @@
                     self._deliver(datagram)
 
     @rule(sides=st.lists(st.integers(0, 1), min_size=6, max_size=6))
-    def cut(self, sides):
+    def partition(self, sides):
         self.network.sides = dict(zip(self._addresses(), sides, strict=True))
 
-    @rule(listed=st.lists(st.sampled_from(LISTED), min_size=3, max_size=3))
+    @rule(listed=st.lists(st.sampled_from(VM_LISTINGS), min_size=3, max_size=3))
     def read_lagging_vm_list(self, listed):
         vms = []
-        for number, line in enumerate(listed):
+        for number, listing in enumerate(listed):
             name = f"fukuoka-hall-endpoint-{number:03d}"
             host = self.endpoints[number].rpartition(":")[0]
-            vm = ListedVm(name, f"{host}:7001", 7002, leaving=line == "leaving")
-            vms += [] if line == "missing" else [vm]
+            vm = ListedVm(name, f"{host}:7001", 7002, leaving=listing == "leaving")
+            vms += [] if listing == "missing" else [vm]
         for node in self.network.controls():
             if not node.paused:
                 node.machine.update_vms(vms, self.network.now)
@@ -177,10 +182,10 @@
     def heal(self):
         self.network.sides = {}
         self.resume()
-        self._run_without_faults(ROUNDS_TO_AGREE)
-        truth = self.network.truth()
-        for seen in self.network.views():
-            assert seen == truth
+        self._run_without_faults(ROUNDS_TO_CONVERGE)
+        expected = self.network.truth()
+        for view_of_control in self.network.views():
+            assert view_of_control == expected
 
     def _addresses(self):
         return [*self.controls, *self.endpoints]
@@ -191,36 +196,36 @@
             for record in node.machine.records():
                 key = (node.record, record.name, record.incarnation)
                 if record.state is State.LEAVING:
-                    self.heard_leaving.add(key)
-                if key in self.heard_leaving:
+                    self.seen_leaving.add(key)
+                if key in self.seen_leaving:
                     assert record.state >= State.LEAVING, record
 
     @invariant()
-    def what_is_heard_is_not_declared_gone(self):
+    def endpoints_with_recent_messages_are_not_gone(self):
         for node in self.network.controls():
             for record in node.machine.records():
                 source = (record.name, record.incarnation)
-                heard = self.heard_at.get((node.record, source))
-                if heard is None or record.announced is State.GONE:
+                received_at = self.last_message_at.get((node.record, source))
+                if received_at is None or record.announced is State.GONE:
                     continue
-                if self.network.now - heard < TIMING.probe_after:
+                if self.network.now - received_at < TIMING.probe_after_ms:
                     assert not record.is_silent, record
 
     @invariant()
-    def a_snapshot_never_shows_more_than_the_record(self):
+    def snapshot_state_is_at_least_the_record_state(self):
         for node in self.network.controls():
-            for shown in node.machine.snapshot():
-                assert shown.state >= shown.record.state
+            for entry in node.machine.snapshot():
+                assert entry.state >= entry.record.state
 
 
 TestMembership = MembershipMachine.TestCase
 
 
 def test_catches_last_writer_wins(monkeypatch):
-    """Records taken in the order of arrival instead of joined."""
+    """Mutant: the last record received replaces the known one instead of joining it."""
     monkeypatch.setattr(directory_module, "join", lambda known, record: record)
     with pytest.raises(AssertionError):
-        run_state_machine_as_test(MembershipMachine, settings=MUTANT)
+        run_state_machine_as_test(MembershipMachine, settings=MUTANT_SETTINGS)
 
 
 class _RevivingDirectory(Directory):
@@ -234,15 +239,15 @@
         super().update_vms(listed, now)
 
 
-def test_catches_a_vm_list_that_revives_leaving():
+def test_catches_a_vm_list_that_revives_leaving_endpoints():
     class Mutant(MembershipMachine):
         make_directory = _RevivingDirectory
 
     with pytest.raises(AssertionError):
-        run_state_machine_as_test(Mutant, settings=MUTANT)
+        run_state_machine_as_test(Mutant, settings=MUTANT_SETTINGS)
 
 
-def test_a_view_leaves_out_the_gone():
+def test_views_do_not_contain_gone_endpoints():
     network = VirtualNetwork()
     control = network.nodes[network.add_control(0)]
     network.add_endpoint(0)
--- a/tests/core/membership/test_records.py
+++ b/tests/core/membership/test_records.py
@@ -1,4 +1,4 @@
-"""Records of one endpoint join to the same whatever the order of arrival."""
+"""Joining the records of an endpoint gives the same result in any order."""
 
 import pytest
 from hypothesis import given
@@ -6,8 +6,12 @@
 
 from azurefold.core.membership.buckets import Buckets
 from azurefold.core.membership.endpoints import Endpoint, State, join
-from azurefold.core.membership.gossip_queue import MAX_PAYLOAD, page, wire_size
-from azurefold.core.membership.rendezvous import homes
+from azurefold.core.membership.gossip_queue import (
+    MAX_PAYLOAD_BYTES,
+    split_into_datagrams,
+    wire_size,
+)
+from azurefold.core.membership.rendezvous import select_owners
 
 RECORDS = st.builds(
     Endpoint,
@@ -24,47 +28,47 @@
 
 
 @given(RECORDS, RECORDS, RECORDS)
-def test_join_is_a_semilattice(one, other, third):
-    assert join(one, other) == join(other, one)
-    assert join(one, join(other, third)) == join(join(one, other), third)
-    assert join(one, one) == one
+def test_join_is_a_semilattice(first, second, third):
+    assert join(first, second) == join(second, first)
+    assert join(first, join(second, third)) == join(join(first, second), third)
+    assert join(first, first) == first
 
 
 @given(RECORDS, RECORDS)
-def test_leaving_is_never_undone_in_an_incarnation(one, other):
-    joined = join(one, other)
-    for record in (one, other):
+def test_leaving_is_never_undone_within_an_incarnation(first, second):
+    joined = join(first, second)
+    for record in (first, second):
         if record.departing and record.incarnation == joined.incarnation:
             assert joined.state >= State.LEAVING
 
 
-def test_records_of_two_endpoints_are_not_joined():
-    one = Endpoint("a", 1, "10.0.0.1:80", 80)
+def test_records_of_different_endpoints_cannot_be_joined():
+    first = Endpoint("a", 1, "10.0.0.1:80", 80)
     with pytest.raises(ValueError, match="cannot be joined"):
-        join(one, Endpoint("b", 1, "10.0.0.1:80", 80))
+        join(first, Endpoint("b", 1, "10.0.0.1:80", 80))
 
 
-def test_only_the_endpoints_of_a_dead_control_change_homes():
+def test_only_endpoints_of_a_failed_control_change_owners():
     controls = [f"10.1.0.{n}:7002" for n in range(39)]
     for n in range(390):
-        before = homes(f"endpoint-{n}", controls, 2)
-        after = homes(f"endpoint-{n}", controls[1:], 2)
+        before = select_owners(f"endpoint-{n}", controls, 2)
+        after = select_owners(f"endpoint-{n}", controls[1:], 2)
         if controls[0] not in before:
             assert after == before
 
 
 @given(st.lists(RECORDS, max_size=20))
-def test_buckets_depend_on_what_is_held_and_not_on_the_way_to_it(records):
-    wandering, direct = Buckets(), Buckets()
+def test_buckets_depend_on_the_records_and_not_on_their_history(records):
+    incremental, latest_only = Buckets(), Buckets()
     for record in records:
-        wandering.put(record)
+        incremental.put(record)
     if records:
-        direct.put(records[-1])
-    assert wandering.hashes == direct.hashes
+        latest_only.put(records[-1])
+    assert incremental.hashes == latest_only.hashes
 
 
 @given(st.lists(RECORDS, max_size=60))
-def test_pages_hold_all_records_in_order_and_fit_a_datagram(records):
-    pages = page(records)
-    assert [record for group in pages for record in group] == records
-    assert all(sum(map(wire_size, group)) <= MAX_PAYLOAD for group in pages)
+def test_groups_contain_all_records_in_order_and_fit_a_datagram(records):
+    groups = split_into_datagrams(records)
+    assert [record for group in groups for record in group] == records
+    assert all(sum(map(wire_size, group)) <= MAX_PAYLOAD_BYTES for group in groups)
--- a/tests/gateway/test_promises_catch_mutants.py
+++ b/tests/gateway/test_promises_catch_mutants.py
@@ -22,16 +22,16 @@
 
 
 def never_aged(monkeypatch, _):
-    monkeypatch.setattr(RefreshScheduler, "_is_aged", lambda *_: False)
+    monkeypatch.setattr(RefreshScheduler, "_is_stale", lambda *_: False)
 
 
 def dated_by_arrival(monkeypatch, world):
-    prove = TableFreshness._prove
+    confirm = TableFreshness._confirm
 
     def mutant(self, store_ms):
-        prove(self, store_ms and world.time.at + world.store_ahead_ms)
+        confirm(self, store_ms and world.time.at + world.store_ahead_ms)
 
-    monkeypatch.setattr(TableFreshness, "_prove", mutant)
+    monkeypatch.setattr(TableFreshness, "_confirm", mutant)
 
 
 def told_before_in_force(monkeypatch, _):
