--- a/src/azurefold/core/balance/__init__.py
+++ b/src/azurefold/core/balance/__init__.py
@@ -3,8 +3,9 @@
 A rank is as slow as its load, the tokens that its experts process, over its speed. All
 ranks wait for the slowest. An expert can have replicas on several ranks, which share
 its load. The *skew* of a layer is the time of the slowest rank over the time if all
-ranks were balanced; its *excess* is the skew minus 1. Each change has to load weights
-onto ranks; the number of *weight loads* is limited and has a cost.
+ranks were balanced; its *excess* is the skew minus 1. To hold another expert, a rank
+has to load its weights; the number of these *weight loads* is limited, and each has a
+cost.
 
 Two searches improve an existing placement:
 
--- a/src/azurefold/core/balance/candidates.py
+++ b/src/azurefold/core/balance/candidates.py
@@ -48,14 +48,14 @@
     split : ReplicaSplit
         How replicas share load.
     """
-    view = _build_rank_view(state, slots_per_rank)
-    replications = _select_best(_score_replications(view), _MAX_REPLICATIONS)
-    swaps = _select_best(_score_swaps(view), _MAX_SWAPS)
+    layer = _group_by_rank(state, slots_per_rank)
+    replications = _select_best(_score_replications(layer), _MAX_REPLICATIONS)
+    swaps = _select_best(_score_swaps(layer), _MAX_SWAPS)
     found = _select_best(iter(replications + swaps), _MAX_REPLICATIONS + _MAX_SWAPS)
     moves = [scored.move for scored in found]
     match split:
         case ReplicaSplit.EVEN:
-            return moves + _list_drops(view)
+            return moves + _list_drops(layer)
         case ReplicaSplit.LEVEL:
             return moves
 
@@ -68,8 +68,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _RankView:
-    """The state of a layer by rank, with the slowest and the fastest ranks.
+class _LayerByRank:
+    """The loads of a layer by rank, with the slowest and the fastest ranks.
 
     ``slow_ranks`` starts with the slowest rank, ``fast_ranks`` with the fastest one.
     """
@@ -82,7 +82,7 @@
     fast_ranks: list[int]
 
 
-def _build_rank_view(state: LayerLoads, slots_per_rank: int) -> _RankView:
+def _group_by_rank(state: LayerLoads, slots_per_rank: int) -> _LayerByRank:
     experts_by_rank: list[list[int]] = [[] for _ in state.rank_loads]
     for expert, hosts in enumerate(state.hosts):
         for rank in hosts:
@@ -95,7 +95,7 @@
     fast_ranks = [rank for rank in order if times[rank] < min_slow_time][
         :_MAX_FAST_RANKS
     ]
-    return _RankView(
+    return _LayerByRank(
         state, slots_per_rank, experts_by_rank, times, slow_ranks, fast_ranks
     )
 
@@ -104,70 +104,70 @@
     return state.replica_loads[expert][state.hosts[expert].index(rank)]
 
 
-def _find_hot_experts(view: _RankView) -> list[tuple[float, int]]:
+def _find_hot_experts(layer: _LayerByRank) -> list[tuple[float, int]]:
     """Return the experts with the most load on the slowest ranks, heaviest first."""
     slow_rank_loads: dict[int, float] = {}
-    for rank in view.slow_ranks:
-        for expert in view.experts_by_rank[rank]:
-            load = _replica_load(view.state, expert, rank)
+    for rank in layer.slow_ranks:
+        for expert in layer.experts_by_rank[rank]:
+            load = _replica_load(layer.state, expert, rank)
             slow_rank_loads[expert] = slow_rank_loads.get(expert, 0.0) + load
     ordered = sorted((-load, expert) for expert, load in slow_rank_loads.items())
     return [(-load, expert) for load, expert in ordered[:_MAX_HOT_EXPERTS]]
 
 
-def _score_replications(view: _RankView) -> Iterator[_ScoredMove]:
-    hot_experts = _find_hot_experts(view)
-    slowest_time = view.rank_times[view.slow_ranks[0]]
-    for rank in view.fast_ranks:
-        headroom = (slowest_time - view.rank_times[rank]) * view.state.speeds[rank]
-        for displaced_load, evicted in _find_evictions(view, rank):
+def _score_replications(layer: _LayerByRank) -> Iterator[_ScoredMove]:
+    hot_experts = _find_hot_experts(layer)
+    slowest_time = layer.rank_times[layer.slow_ranks[0]]
+    for rank in layer.fast_ranks:
+        headroom = (slowest_time - layer.rank_times[rank]) * layer.state.speeds[rank]
+        for displaced_load, evicted in _find_evictions(layer, rank):
             for load, expert in hot_experts:
-                if rank in view.state.hosts[expert] or expert == evicted:
+                if rank in layer.state.hosts[expert] or expert == evicted:
                     continue
                 score = min(load, headroom) - displaced_load
                 yield _ScoredMove(score, Replicate(expert, rank, evicted))
 
 
-def _find_evictions(view: _RankView, rank: int) -> list[tuple[float, int | None]]:
+def _find_evictions(layer: _LayerByRank, rank: int) -> list[tuple[float, int | None]]:
     """Return replicas that ``rank`` can evict and the load each moves elsewhere.
 
     The expert is None if the rank has a free slot, so that nothing is evicted.
     """
-    if len(view.experts_by_rank[rank]) < view.slots_per_rank:
+    if len(layer.experts_by_rank[rank]) < layer.slots_per_rank:
         return [(0.0, None)]
     evictable = sorted(
-        (_replica_load(view.state, expert, rank), expert)
-        for expert in view.experts_by_rank[rank]
-        if len(view.state.hosts[expert]) > 1
+        (_replica_load(layer.state, expert, rank), expert)
+        for expert in layer.experts_by_rank[rank]
+        if len(layer.state.hosts[expert]) > 1
     )
     return [(load, expert) for load, expert in evictable[:_MAX_EVICTIONS_PER_RANK]]
 
 
-def _score_swaps(view: _RankView) -> Iterator[_ScoredMove]:
-    slow_rank = view.slow_ranks[0]
-    slow_rank_loads = _replica_loads_of_rank(view, slow_rank)
-    for fast_rank in view.fast_ranks:
+def _score_swaps(layer: _LayerByRank) -> Iterator[_ScoredMove]:
+    slow_rank = layer.slow_ranks[0]
+    slow_rank_loads = _replica_loads_of_rank(layer, slow_rank)
+    for fast_rank in layer.fast_ranks:
         fast_rank_loads = [
             (load, expert)
-            for load, expert in _replica_loads_of_rank(view, fast_rank)
-            if slow_rank not in view.state.hosts[expert]
+            for load, expert in _replica_loads_of_rank(layer, fast_rank)
+            if slow_rank not in layer.state.hosts[expert]
         ]
         for load, expert in slow_rank_loads:
-            if fast_rank not in view.state.hosts[expert]:
+            if fast_rank not in layer.state.hosts[expert]:
                 yield from _score_swaps_of_expert(
-                    view, slow_rank, fast_rank, load, expert, fast_rank_loads
+                    layer, slow_rank, fast_rank, load, expert, fast_rank_loads
                 )
 
 
-def _replica_loads_of_rank(view: _RankView, rank: int) -> list[tuple[float, int]]:
+def _replica_loads_of_rank(layer: _LayerByRank, rank: int) -> list[tuple[float, int]]:
     return [
-        (_replica_load(view.state, expert, rank), expert)
-        for expert in view.experts_by_rank[rank]
+        (_replica_load(layer.state, expert, rank), expert)
+        for expert in layer.experts_by_rank[rank]
     ]
 
 
 def _score_swaps_of_expert(
-    view: _RankView,
+    layer: _LayerByRank,
     slow_rank: int,
     fast_rank: int,
     load: float,
@@ -179,14 +179,14 @@
     The loop is optimised because one decision evaluates 1,000 such pairs.
     """
     slow_load, slow_speed = (
-        view.state.rank_loads[slow_rank],
-        view.state.speeds[slow_rank],
+        layer.state.rank_loads[slow_rank],
+        layer.state.speeds[slow_rank],
     )
     fast_load, fast_speed = (
-        view.state.rank_loads[fast_rank],
-        view.state.speeds[fast_rank],
+        layer.state.rank_loads[fast_rank],
+        layer.state.speeds[fast_rank],
     )
-    slow_time = view.rank_times[slow_rank]
+    slow_time = layer.rank_times[slow_rank]
     for other_load, other_expert in fast_rank_loads:
         shifted_load = load - other_load
         if shifted_load <= 0:
@@ -199,12 +199,12 @@
         yield _ScoredMove(score, Swap(expert, slow_rank, other_expert, fast_rank))
 
 
-def _list_drops(view: _RankView) -> list[Move]:
-    slow_rank = view.slow_ranks[0]
+def _list_drops(layer: _LayerByRank) -> list[Move]:
+    slow_rank = layer.slow_ranks[0]
     return [
         Drop(expert, slow_rank)
-        for expert in view.experts_by_rank[slow_rank]
-        if len(view.state.hosts[expert]) > 1
+        for expert in layer.experts_by_rank[slow_rank]
+        if len(layer.state.hosts[expert]) > 1
     ]
 
 
--- a/src/azurefold/core/balance/greedy_search.py
+++ b/src/azurefold/core/balance/greedy_search.py
@@ -78,7 +78,9 @@
         if total <= 0:
             return 1.0
         return (
-            max(map(self._time, range(len(self.rank_loads)))) * sum(self.speeds) / total
+            max(map(self._rank_time, range(len(self.rank_loads))))
+            * sum(self.speeds)
+            / total
         )
 
     @property
@@ -108,9 +110,9 @@
         bool
             Whether a change was found.
         """
-        slowest = max(range(len(self.rank_loads)), key=self._time)
-        limit = self._time(slowest) * _IMPROVEMENT_FACTOR
-        best, best_time = None, limit
+        slowest = max(range(len(self.rank_loads)), key=self._rank_time)
+        time_limit = self._rank_time(slowest) * _IMPROVEMENT_FACTOR
+        best, best_time = None, time_limit
         for change in self._list_changes(slowest, max_per_rank, full_ranks):
             time = self._slowest_time_after(change, slowest)
             if time < best_time:
@@ -125,7 +127,7 @@
         ranks = tuple(tuple(sorted(experts)) for experts in self.experts_by_rank)
         return Placement(len(self.rates), self.slots_per_rank, ranks)
 
-    def _time(self, rank: int) -> float:
+    def _rank_time(self, rank: int) -> float:
         return self.rank_loads[rank] / self.speeds[rank]
 
     def _list_changes(
@@ -164,7 +166,7 @@
             for rank, weight_loads in enumerate(self._weight_loads)
             if weight_loads < max_per_rank and rank not in full_ranks
         ]
-        return sorted(eligible, key=self._time)[:_MAX_TARGET_RANKS]
+        return sorted(eligible, key=self._rank_time)[:_MAX_TARGET_RANKS]
 
     def _replica_load(self, expert: int) -> float:
         return self.rates[expert] / len(self.hosts[expert])
@@ -200,7 +202,7 @@
             for rank, delta in deltas.items()
         ]
         if slowest not in deltas:
-            times.append(self._time(slowest))
+            times.append(self._rank_time(slowest))
         return max(times)
 
     def _apply(self, change: ReplicaChange) -> None:
--- a/src/azurefold/core/balance/move_search.py
+++ b/src/azurefold/core/balance/move_search.py
@@ -35,7 +35,7 @@
 
 
 def compute_cost(
-    policy: BalancePolicy, excess: float, weight_loads: int, factor: float
+    policy: BalancePolicy, excess: float, weight_loads: int, move_cost_factor: float
 ) -> float:
     """Return the cost of the remaining excess and of the weight loads together.
 
@@ -47,19 +47,19 @@
         Excess of the slowest rank over the lower bound.
     weight_loads : int
         Experts whose weights are fetched from the store.
-    factor : float
+    move_cost_factor : float
         Multiplier for the cost of moves.
     """
     return policy.excess_cost * excess + _compute_move_cost(
-        policy, weight_loads, factor
+        policy, weight_loads, move_cost_factor
     )
 
 
 def _compute_move_cost(
-    policy: BalancePolicy, weight_loads: int, factor: float
+    policy: BalancePolicy, weight_loads: int, move_cost_factor: float
 ) -> float:
     # 0 * inf is NaN. Moves that load no weights are free, whatever the factor is.
-    return policy.move_weight * weight_loads * factor if weight_loads else 0.0
+    return policy.move_weight * weight_loads * move_cost_factor if weight_loads else 0.0
 
 
 def propose_rebalance(
@@ -193,7 +193,7 @@
 
     view: LayerView
     policy: BalancePolicy
-    factor: float
+    move_cost_factor: float
     weight_loads_left: int
     state: LayerLoads
     accepted: list[EvaluatedMove] = field(default_factory=list)
@@ -241,23 +241,23 @@
         _split_loads(self.state, self.policy.split)
         return True
 
-    def _try_candidates(self, start: LayerLoads) -> list[_Trial]:
+    def _try_candidates(self, initial_state: LayerLoads) -> list[_Trial]:
         slots_per_rank = self.view.assignment.placement.slots_per_rank
-        moves = find_candidate_moves(start, slots_per_rank, self.policy.split)
+        moves = find_candidate_moves(initial_state, slots_per_rank, self.policy.split)
         # A trial takes about a millisecond. Without a limit, a badly skewed layer
         # would delay all others. The next decision tries the remaining moves.
         moves = moves[: _MAX_TRIALS_PER_LAYER - self.trial_count]
         self.trial_count += len(moves)
-        return [self._try_move(move, start) for move in moves]
+        return [self._try_move(move, initial_state) for move in moves]
 
-    def _try_move(self, move: Move, start: LayerLoads) -> _Trial:
-        state = start.copy()
+    def _try_move(self, move: Move, initial_state: LayerLoads) -> _Trial:
+        state = initial_state.copy()
         apply_move(state, move)
         _split_loads(state, self.policy.split, _MAX_SWEEPS_PER_TRIAL)
         excess_reduction = self.state.excess - state.excess
         gain = self.policy.excess_cost * excess_reduction
         weight_loads = count_weight_loads(move)
-        cost = _compute_move_cost(self.policy, weight_loads, self.factor)
+        cost = _compute_move_cost(self.policy, weight_loads, self.move_cost_factor)
         return _Trial(
             EvaluatedMove(move, gain, cost, self._classify(weight_loads, gain)), state
         )
@@ -275,7 +275,7 @@
             for trial in trials
             if count_slowest_ranks(trial.state) < slowest_count
         ]
-        if not first_moves or math.isinf(self.factor):
+        if not first_moves or math.isinf(self.move_cost_factor):
             return []
         first = min(first_moves, key=lambda trial: count_slowest_ranks(trial.state))
         pairs = [
@@ -304,7 +304,7 @@
             second.evaluated.gain * count / sum(weight_loads) for count in weight_loads
         ]
         costs = [
-            _compute_move_cost(self.policy, count, self.factor)
+            _compute_move_cost(self.policy, count, self.move_cost_factor)
             for count in weight_loads
         ]
         states = (first.state, second.state)
@@ -318,7 +318,7 @@
             return MoveReason.NO_GAIN
         if gain <= _compute_move_cost(self.policy, weight_loads, 1.0):
             return MoveReason.GAIN_BELOW_COST
-        if gain <= _compute_move_cost(self.policy, weight_loads, self.factor):
+        if gain <= _compute_move_cost(self.policy, weight_loads, self.move_cost_factor):
             return MoveReason.WINDOW_TOO_COSTLY
         if weight_loads > self.weight_loads_left:
             return MoveReason.LOAD_LIMIT_REACHED
--- a/src/azurefold/core/balance/plan.py
+++ b/src/azurefold/core/balance/plan.py
@@ -170,7 +170,7 @@
         if not layer.take_step(limits.max_per_rank_and_layer, full_ranks):
             unfinished_layers.remove(layer)
         yield None
-    yield MapPlan(tuple(layer.plan() for layer in layers))
+    yield MapPlan(tuple(layer.build_plan() for layer in layers))
 
 
 def plan_layer(
@@ -230,7 +230,7 @@
             )
         return True
 
-    def plan(self) -> LayerPlan:
+    def build_plan(self) -> LayerPlan:
         return LayerPlan(
             self.best_placement,
             self.skew_before,
--- a/src/azurefold/core/groups/map_change.py
+++ b/src/azurefold/core/groups/map_change.py
@@ -2,13 +2,13 @@
 
 1. Prepare: all ranks load the weights of the new map.
 2. Hold: one rank is ordered not to start a forward pass some distance ahead. The group
-   cannot start that pass without it.
+   starts a pass only with all its ranks, so it waits there.
 3. Arm: every rank is ordered to switch to the new map at that pass.
 4. Release: when *all* ranks have confirmed that they are armed, the hold ends.
 
-If the load time is known beforehand, steps 2 and 3 need not wait for the reports that
-the weights are loaded: the pass is chosen, and the group held before it, while ranks
-are still loading.
+If the load time is known beforehand, the reports that the weights are loaded need not
+be awaited: the pass is chosen, and the group held before it, while ranks are still
+loading. They are armed when the load time has passed.
 
 The hold makes the change safe. Without it the pass could start while only some
 ranks are armed, and the group would run it under two maps. If the pass is chosen
--- a/tests/core/balance/test_move_search.py
+++ b/tests/core/balance/test_move_search.py
@@ -80,10 +80,10 @@
 
 
 def test_short_placement_lifetime_makes_moves_unprofitable(hot_layer):
-    long = BalancePolicy(0.01, 1.0, placement_lifetime=HOUR_MS)
-    short = BalancePolicy(0.01, 1.0, placement_lifetime=1_000)
-    assert propose_layer(hot_layer, long, 0, weight_loads_left=8).accepted
-    assert not propose_layer(hot_layer, short, 0, weight_loads_left=8).accepted
+    long_lived = BalancePolicy(0.01, 1.0, placement_lifetime=HOUR_MS)
+    short_lived = BalancePolicy(0.01, 1.0, placement_lifetime=1_000)
+    assert propose_layer(hot_layer, long_lived, 0, weight_loads_left=8).accepted
+    assert not propose_layer(hot_layer, short_lived, 0, weight_loads_left=8).accepted
 
 
 @pytest.mark.parametrize("weights", [(-1.0, 1.0), (1.0, -1.0)])
--- a/tests/core/groups/simulated_group.py
+++ b/tests/core/groups/simulated_group.py
@@ -18,7 +18,7 @@
 from azurefold_standins.lockstep_orders import give_order
 
 TIMING = GroupTiming()
-STEP_TIME = 5
+STEP_MS = 5
 
 
 @dataclass(frozen=True, slots=True)
@@ -117,8 +117,8 @@
 
     def run(self, duration: int) -> None:
         """Run the group for ``duration`` ms on a network without faults."""
-        for _ in range(duration // STEP_TIME):
-            self.tick(STEP_TIME)
+        for _ in range(duration // STEP_MS):
+            self.tick(STEP_MS)
             self.deliver_all(2)
             self.group.advance(1)
 
--- a/tests/core/groups/test_lease.py
+++ b/tests/core/groups/test_lease.py
@@ -217,12 +217,12 @@
 
 def test_a_released_lease_can_be_acquired_immediately():
     table, lease = table_and_held_lease()
-    other = Lease("b/1", TIMING)
+    successor = Lease("b/1", TIMING)
     table.write(lease.release(600))
-    other.tick(600)
-    other.on_read(table.row, 600)
-    other.on_write_outcome(table.write(other.tick(1_100)), 1_100)
-    assert other.fence_at(1_100) == 2
+    successor.tick(600)
+    successor.on_read(table.row, 600)
+    successor.on_write_outcome(table.write(successor.tick(1_100)), 1_100)
+    assert successor.fence_at(1_100) == 2
 
 
 def test_the_next_fence_is_higher_than_the_minimum():
@@ -237,8 +237,8 @@
     table, lease = table_and_held_lease()
     lease.record_active_map("m7")
     lease.on_write_outcome(table.write(lease.tick(1_600)), 1_600)
-    other = Lease("b/1", TIMING)
-    other.tick(1_600)
-    other.on_read(table.row, 1_600)
-    assert (other.map_id, other.row.holder) == ("m7", "a/1")
+    successor = Lease("b/1", TIMING)
+    successor.tick(1_600)
+    successor.on_read(table.row, 1_600)
+    assert (successor.map_id, successor.row.holder) == ("m7", "a/1")
     assert isinstance(table.row.row, LeaseRow)
--- a/tests/core/groups/test_map_change_cases.py
+++ b/tests/core/groups/test_map_change_cases.py
@@ -85,8 +85,8 @@
         [prepare] = change.start(50.0, now=0)
         change.record_pass_start(10, now=0)
         change.on_verdict(0, prepare.order, verdict, now=5)
-        prepared = replace(ModelGroup(1).view(0), prepared_version=1)
-        [hold] = change.on_report(prepared, now=10)
+        prepared_view = replace(ModelGroup(1).view(0), prepared_version=1)
+        [hold] = change.on_report(prepared_view, now=10)
         steps.append(hold.order.step)
     assert steps[1] >= steps[0] + change.policy.lossy_lead_time // 50
 
@@ -109,8 +109,8 @@
     change.start(50.0, now=0)
     change.record_pass_start(10, now=0)
     view = ModelGroup(1).view(0)
-    prepared = replace(view, prepared_version=1)
-    [first] = change.on_report(prepared, now=10)
+    prepared_view = replace(view, prepared_version=1)
+    [first] = change.on_report(prepared_view, now=10)
     [second] = change.on_verdict(0, first.order, Verdict.REFUSED, now=20)
     assert isinstance(second.order, Hold)
     assert second.order.step > first.order.step
@@ -134,8 +134,10 @@
                         simulation.group.view(rank), simulation.now
                     )
                 )
-            lost = replace(simulation.group.view(1), prepared_version=1)
-            simulation.carry_out(simulation.change.on_report(lost, simulation.now))
+            view_before_loss = replace(simulation.group.view(1), prepared_version=1)
+            simulation.carry_out(
+                simulation.change.on_report(view_before_loss, simulation.now)
+            )
             break
         simulation.tick(50)
     for _ in range(20):
--- a/tests/core/groups/test_sampled_popularity.py
+++ b/tests/core/groups/test_sampled_popularity.py
@@ -39,11 +39,15 @@
 
 
 def counts_of(popularity, seconds):
-    """Return the counts that result from a popularity within ``seconds``."""
+    """Return the counts of experts within ``seconds``, at 1,000 tokens per second."""
     return [round(1_000 * seconds * share) for share in popularity]
 
 
 def add_sample(popularity, shares, now, seconds=0.5, total=None):
+    """Add the counts of one rank after ``seconds`` more with the given shares.
+
+    Returns whether the result is usable, and the counts since the rank has started.
+    """
     total = total if total is not None else [0] * len(shares)
     for index, count in enumerate(counts_of(shares, seconds)):
         total[index] += count
--- a/tests/core/groups/test_termination_protocol.py
+++ b/tests/core/groups/test_termination_protocol.py
@@ -31,7 +31,7 @@
 
 
 class PromisesWithoutHold(RankAgent):
-    """Promises without placing a hold, so the engine does not store the change."""
+    """Promises for a change that does not hold the rank, without storing it."""
 
     def _on_ask(self, ask):
         if self._closed_change is None and self._engine.entry_of(ask.number) is None:
