--- a/bench/limits.py
+++ b/bench/limits.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from azurefold.core.admission.drain import spread_retry
+from azurefold.core.admission.drain import jitter_retry_after
 from azurefold.core.admission.limits import Allowed, OrganisationLimits
 from azurefold.core.routing.messages import (
     Answered,
@@ -63,7 +63,7 @@
     wait = 1_000 * backlog / _SERVED_A_SECOND
     due: dict[int, int] = {}
     for _ in range(backlog):
-        second = spread_retry(wait, random.random()) // 1_000 if spread else 1
+        second = jitter_retry_after(wait, random.random()) // 1_000 if spread else 1
         due[second] = due.get(second, 0) + 1
     peak = refusals = 0
     second = 0
@@ -73,7 +73,7 @@
         over = max(0, arriving - _SERVED_A_SECOND)
         refusals += over
         for _ in range(over):
-            later = spread_retry(1_000 * over / _SERVED_A_SECOND, random.random())
+            later = jitter_retry_after(1_000 * over / _SERVED_A_SECOND, random.random())
             at = second + (max(1, later // 1_000) if spread else 1)
             due[at] = due.get(at, 0) + 1
         second += 1
@@ -102,7 +102,7 @@
         if drift and now % 5_000 == 0:
             weights = weights[1:] + weights[:1]
         for node in random.choices(nodes, weights, k=3):
-            verdict = node.request("a", 200, random.random(), now)
+            verdict = node.try_acquire("a", 200, random.random(), now)
             granted += 200 * isinstance(verdict, Allowed)
         if now % 1_000 == 0:
             _exchange(nodes, now, cut)
@@ -111,11 +111,11 @@
 
 def _exchange(nodes: list[OrganisationLimits], now: int, cut: bool) -> None:
     half = len(nodes) // 2
-    reports = [node.report(now) for node in nodes]
+    reports = [node.build_report(now) for node in nodes]
     for to, node in enumerate(nodes):
         for source, report in enumerate(reports):
             if not cut or (to < half) == (source < half):
-                node.heard(report, now)
+                node.receive_report(report, now)
 
 
 class Fleet:
--- a/bench/routing_policies.py
+++ b/bench/routing_policies.py
@@ -154,8 +154,8 @@
             priority=job.priority,
             tokens=200 if job.priority is Priority.DRAFT else 40,
             deadline=int(job.deadline),
-            expected_ms=150,
-            draw=self.site.random.random(),
+            expected_service_ms=150,
+            jitter=self.site.random.random(),
         )
         self.jobs[item.request_id] = job
         offered = self.queue.offer(item, self.now)
@@ -188,7 +188,7 @@
         for refusal in self.queue.expire(self.now):
             self._refuse(refusal.item.request_id, refusal.refused)
         while self.pool.room > 0:
-            item = self.queue.take(self.now, drafts=self.pool.draft_room > 0)
+            item = self.queue.take(self.now, include_drafts=self.pool.draft_room > 0)
             if item is None:
                 return
             self._send(item)
--- a/src/azurefold/agent/heartbeats.py
+++ b/src/azurefold/agent/heartbeats.py
@@ -52,7 +52,7 @@
     def tick(self) -> None:
         """Report what is due now."""
         ledger = self.runner.ledger
-        self.presence.set_load(_HUNDRED * ledger.running // ledger.max_running)
+        self.presence.set_load(_HUNDRED * ledger.running_count // ledger.max_running)
         self._send(self.presence.tick(self._now()))
 
     def announce(self, state: State) -> None:
--- a/src/azurefold/agent/http_api.py
+++ b/src/azurefold/agent/http_api.py
@@ -21,7 +21,7 @@
 from azurefold.agent.buffer import AnswerBuffer
 from azurefold.agent.endpoint import EndpointCall
 from azurefold.agent.runner import Attached, NotStarted, Runner
-from azurefold.core.attempts.ledger import Known, NotRun, OutcomeUnknown
+from azurefold.core.attempts.ledger import AlreadyKnown, NotRun, OutcomeUnknown
 from azurefold.wire.attempts import (
     HEADER_DEADLINE,
     HEADER_INCARNATION,
@@ -94,7 +94,7 @@
 
     def on_delete(self, req: falcon.Request, resp: falcon.Response, attempt_id: str):
         organisation = req.get_header(HEADER_ORGANISATION) or ""
-        if self.runner.ledger.phase_of(attempt_id, organisation) is not None:
+        if self.runner.ledger.get_phase(attempt_id, organisation) is not None:
             self.runner.cancel(attempt_id)
         resp.status = falcon.HTTP_204
 
@@ -106,11 +106,11 @@
             return
         buffer.follow(channel, int(number))
         resp.status = falcon.HTTP_202
-        resp.set_header(HEADER_RUNNING, str(self.runner.ledger.running))
+        resp.set_header(HEADER_RUNNING, str(self.runner.ledger.running_count))
 
     def _stream(self, resp: falcon.Response, buffer: AnswerBuffer, start: int):
         resp.content_type = _LINES
-        resp.set_header(HEADER_RUNNING, str(self.runner.ledger.running))
+        resp.set_header(HEADER_RUNNING, str(self.runner.ledger.running_count))
         resp.stream = _early_headers(buffer.lines(start))
 
 
@@ -129,7 +129,7 @@
             self.runner.clock.now(),
         )
         match answer:
-            case Known(phase=phase):
+            case AlreadyKnown(phase=phase):
                 body = SettledBody(state=str(phase))
             case NotRun():
                 body = SettledBody(state="not_run")
--- a/src/azurefold/agent/leaving.py
+++ b/src/azurefold/agent/leaving.py
@@ -26,9 +26,11 @@
         # An order that was held up must not make a later life leave: the
         # operator meant the one that was there.
         if order.incarnation == self.identity.incarnation:
-            ledger.leave()
+            ledger.start_leaving()
             self.heartbeats.announce(State.LEAVING)
-        resp.data = msgspec.json.encode(LeaveReply(ledger.leaving, ledger.running))
+        resp.data = msgspec.json.encode(
+            LeaveReply(ledger.is_leaving, ledger.running_count)
+        )
 
 
 def leave_route(
--- a/src/azurefold/agent/metrics.py
+++ b/src/azurefold/agent/metrics.py
@@ -71,6 +71,6 @@
         ),
     )
     registry.register(_AttemptsCollector(runner))
-    metrics.running.set_function(lambda: runner.ledger.running)
-    metrics.leaving.set_function(lambda: float(runner.ledger.leaving))
+    metrics.running.set_function(lambda: runner.ledger.running_count)
+    metrics.leaving.set_function(lambda: float(runner.ledger.is_leaving))
     return metrics
--- a/src/azurefold/agent/runner.py
+++ b/src/azurefold/agent/runner.py
@@ -23,7 +23,13 @@
     cancel_stream,
     resume_stream,
 )
-from azurefold.core.attempts.ledger import Accepted, Known, Ledger, Phase, Refused
+from azurefold.core.attempts.ledger import (
+    Accepted,
+    AlreadyKnown,
+    Ledger,
+    Phase,
+    Refused,
+)
 from azurefold.core.clock import Clock, Millis
 from azurefold.internal.logs import log_event
 
@@ -110,7 +116,7 @@
                 log_event(_log, "attempt_refused", attempt=attempt_id, reason=reason)
                 self.seen.attempts[str(reason)] += 1
                 return NotStarted(str(reason))
-            case Known():
+            case AlreadyKnown():
                 buffer = self._buffers.get(attempt_id) or _freed(attempt_id)
                 self.seen.attempts["attached"] += 1
                 return Attached(buffer, new=False)
@@ -128,7 +134,7 @@
         After the agent's own death its ledger is empty while the engine may
         still be generating. Asking the engine lets the caller's answer go on.
         """
-        if self.ledger.phase_of(attempt_id, organisation) is not None:
+        if self.ledger.get_phase(attempt_id, organisation) is not None:
             return self._buffers.get(attempt_id)
         if not isinstance(self.target, ModelEngine):
             return None
@@ -153,9 +159,9 @@
     def forget_old(self) -> None:
         """Free answers that nobody may ask for any more."""
         now = self.clock.now()
-        for attempt_id in self.ledger.texts_to_free(now):
+        for attempt_id in self.ledger.expired_texts(now):
             self._buffers.pop(attempt_id, None)
-        self.ledger.forget_old(now)
+        self.ledger.evict_expired(now)
 
     def cancel(self, attempt_id: str) -> None:
         """Stop a running attempt whose answer nobody wants any more."""
@@ -187,7 +193,7 @@
             head = next(stream)
         except (NoSuchStreamError, StreamBrokeError):
             return None
-        if self.ledger.phase_of(attempt_id, organisation) is not None:
+        if self.ledger.get_phase(attempt_id, organisation) is not None:
             return self._buffers.get(attempt_id)
         self.ledger.adopt(attempt_id, organisation)
         buffer = AnswerBuffer(attempt_id, head.status, head.content_type)
@@ -283,7 +289,7 @@
             return
         self._unread_since.pop(buffer.attempt_id, None)
         self.seen.ended[str(phase)] += 1
-        self.ledger.ended(buffer.attempt_id, phase, self.clock.now())
+        self.ledger.record_end(buffer.attempt_id, phase, self.clock.now())
         buffer.finish()
         log_event(
             _log, "attempt_ended", attempt=buffer.attempt_id, characters=buffer.total
@@ -293,7 +299,7 @@
         self._unread_since.pop(buffer.attempt_id, None)
         self._cancelled.discard(buffer.attempt_id)
         self.seen.ended[str(Phase.FAILED)] += 1
-        self.ledger.ended(buffer.attempt_id, Phase.FAILED, self.clock.now())
+        self.ledger.record_end(buffer.attempt_id, Phase.FAILED, self.clock.now())
         buffer.spoil(reason)
         log_event(_log, "attempt_failed", attempt=buffer.attempt_id, ran=reason)
 
--- a/src/azurefold/agent/service.py
+++ b/src/azurefold/agent/service.py
@@ -141,15 +141,15 @@
 ) -> WSGIServer:
     views = AdminViews(
         registry=metrics.registry,
-        is_ready=lambda: not runner.ledger.leaving,
+        is_ready=lambda: not runner.ledger.is_leaving,
         status=lambda: {
             "role": "agent",
             "name": settings.endpoint,
             "data_centre": settings.data_centre,
             "service": settings.service,
             "incarnation": identity.incarnation,
-            "leaving": runner.ledger.leaving,
-            "in_flight": runner.ledger.running,
+            "leaving": runner.ledger.is_leaving,
+            "in_flight": runner.ledger.running_count,
             "expert_maps": None if maps is None else maps.status(),
         },
     )
@@ -165,17 +165,17 @@
 def _leave(agent: _Agent) -> int:
     """Refuse new work, let what is in flight end and be read, then stop."""
     runner = agent.runner
-    runner.ledger.leave()
+    runner.ledger.start_leaving()
     agent.heartbeats.announce(State.LEAVING)
-    log_event(_log, "leaving", in_flight=runner.ledger.running)
+    log_event(_log, "leaving", in_flight=runner.ledger.running_count)
     left = _DRAIN_TIMEOUT_MS
-    while (runner.ledger.running or runner.readers) and left > 0:
+    while (runner.ledger.running_count or runner.readers) and left > 0:
         gevent.sleep(_POLL_MS / _SECOND_MS)
         left -= _POLL_MS
     # An answer may be whole here while its entry is just taking it up again
     # over a new connection.
     gevent.sleep(_LINGER_MS / _SECOND_MS)
-    cut_off = runner.ledger.running
+    cut_off = runner.ledger.running_count
     agent.heartbeats.announce(State.GONE)
     if agent.maps is not None:
         agent.maps.stop()
--- a/src/azurefold/core/admission/shares.py
+++ b/src/azurefold/core/admission/deficit_round_robin.py
@@ -12,7 +12,7 @@
 from azurefold.core.admission.messages import QueueItem
 from azurefold.core.clock import Millis
 
-__all__ = ["ClassQueue"]
+__all__ = ["DeficitRoundRobinQueue"]
 
 
 _MOST_TURNS = 10_000
@@ -28,7 +28,7 @@
     deficit: int = 0
 
 
-class ClassQueue:
+class DeficitRoundRobinQueue:
     """The waiting requests of one priority class.
 
     Parameters
@@ -49,7 +49,7 @@
     def __len__(self) -> int:
         return self._length
 
-    def set_shares(self, shares: Mapping[str, float]) -> None:
+    def set_weights(self, shares: Mapping[str, float]) -> None:
         """Take in organisations' weights; one that is not named has 1."""
         self._quanta = {
             name: max(1, int(self._quantum * share)) for name, share in shares.items()
@@ -156,7 +156,7 @@
         newest, which has most time left.
         """
         newest = map(self.newest_of, self._shares)
-        in_time = [item for item in newest if item.may_be_on_time(now)]
+        in_time = [item for item in newest if item.can_be_on_time(now)]
         if not in_time:
             return None
         item = min(in_time, key=lambda item: self._turns.get(item.organisation, 0))
--- a/src/azurefold/core/admission/drain.py
+++ b/src/azurefold/core/admission/drain.py
@@ -4,7 +4,7 @@
 
 from azurefold.core.clock import Millis
 
-__all__ = ["DrainRate", "spread_retry"]
+__all__ = ["DrainRate", "jitter_retry_after"]
 
 _MEMORY: Millis = 4_000
 _LEAST_EVIDENCE = 200.0
@@ -61,7 +61,7 @@
         self._since = now
 
 
-def spread_retry(wait: float, draw: float) -> Millis:
+def jitter_retry_after(wait: float, draw: float) -> Millis:
     """Return when to come back: after the backlog, spread over as long again.
 
     Callers told the same moment would come back as one wave.
--- a/src/azurefold/core/admission/limits.py
+++ b/src/azurefold/core/admission/limits.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from math import exp
 
-from azurefold.core.admission.drain import spread_retry
+from azurefold.core.admission.drain import jitter_retry_after
 from azurefold.core.clock import Millis
 
 __all__ = ["Allowed", "DemandReport", "LimitPolicy", "Limited", "OrganisationLimits"]
@@ -116,7 +116,7 @@
         for gone in self._heard.keys() - self._peers - {self._node}:
             del self._heard[gone]
 
-    def request(
+    def try_acquire(
         self, organisation: str, tokens: int, draw: float, now: Millis
     ) -> Allowed | Limited:
         """Grant or refuse a request of ``tokens`` tokens.
@@ -141,14 +141,14 @@
         self._fill(account, rate, now)
         if account.bucket <= 0.0:
             missing = (tokens - account.bucket) / rate
-            return Limited(spread_retry(missing, draw))
+            return Limited(jitter_retry_after(missing, draw))
         # A request larger than what is left goes through and leaves a debt.
         # Asking for its whole size would refuse large prompts for ever on a
         # node whose share is small.
         account.bucket -= tokens
         return Allowed()
 
-    def report(self, now: Millis) -> DemandReport:
+    def build_report(self, now: Millis) -> DemandReport:
         """Return the report to send to the other nodes, and count by it here."""
         demand = {
             organisation: rate
@@ -158,7 +158,7 @@
         self._heard[self._node] = _Heard(now, demand)
         return DemandReport(self._node, demand)
 
-    def heard(self, report: DemandReport, now: Millis) -> None:
+    def receive_report(self, report: DemandReport, now: Millis) -> None:
         """Take in another node's report."""
         if report.node in self._peers:
             self._heard[report.node] = _Heard(now, report.demand)
--- a/src/azurefold/core/admission/messages.py
+++ b/src/azurefold/core/admission/messages.py
@@ -6,13 +6,13 @@
 from azurefold.core.clock import Millis
 
 __all__ = [
-    "Offered",
+    "OfferResult",
     "Priority",
     "Queued",
     "QueueItem",
-    "Refusal",
+    "RefusedItem",
     "Refused",
-    "RefusedReason",
+    "RefusalReason",
 ]
 
 
@@ -39,13 +39,13 @@
         Work it stands for: uncached prompt and expected answer tokens.
     deadline : int
         When the caller no longer wants it.
-    expected_ms : int, default=0
+    expected_service_ms : int, default=0
         Milliseconds it needs once it is taken.
-    draw : float, default=0.5
+    jitter : float, default=0.5
         Random number in [0, 1) that spreads its ``retry_after_ms``.
     queued_at : int, default=0
         When it was queued.
-    on_time_by : int or None
+    latest_on_time_start : int or None
         The last moment at which it can be taken and its answer still be on time;
         None if there is no such moment.
     """
@@ -55,22 +55,22 @@
     priority: Priority
     tokens: int
     deadline: Millis
-    expected_ms: Millis = 0
-    draw: float = 0.5
+    expected_service_ms: Millis = 0
+    jitter: float = 0.5
     queued_at: Millis = 0
-    on_time_by: Millis | None = None
+    latest_on_time_start: Millis | None = None
 
     @property
     def latest_start(self) -> Millis:
         """The last moment at which it is worth taking."""
-        return self.deadline - self.expected_ms
+        return self.deadline - self.expected_service_ms
 
-    def may_be_on_time(self, now: Millis) -> bool:
+    def can_be_on_time(self, now: Millis) -> bool:
         """Whether its answer is on time if it is taken now."""
-        return self.on_time_by is None or now <= self.on_time_by
+        return self.latest_on_time_start is None or now <= self.latest_on_time_start
 
 
-class RefusedReason(Enum):
+class RefusalReason(Enum):
     """Why a request was refused; none of them was run."""
 
     DEADLINE = "deadline"
@@ -83,12 +83,12 @@
 class Refused:
     """The request was not run; its caller may come back after a while."""
 
-    reason: RefusedReason
+    reason: RefusalReason
     retry_after_ms: Millis
 
 
 @dataclass(frozen=True, slots=True)
-class Refusal:
+class RefusedItem:
     """A request that had been queued and is now refused."""
 
     item: QueueItem
@@ -101,11 +101,11 @@
 
     Parameters
     ----------
-    displaced : tuple of Refusal, default=()
+    displaced : tuple of RefusedItem, default=()
         Requests that had to give way and must be answered at once.
     """
 
-    displaced: tuple[Refusal, ...] = ()
+    displaced: tuple[RefusedItem, ...] = ()
 
 
-Offered = Queued | Refused
+OfferResult = Queued | Refused
--- a/src/azurefold/core/admission/outage.py
+++ b/src/azurefold/core/admission/outage.py
@@ -10,7 +10,13 @@
 
 from azurefold.core.clock import Millis
 
-__all__ = ["AwaitReturn", "OutageRequest", "TurnAway", "in_outage", "latest_return"]
+__all__ = [
+    "WaitForGroup",
+    "OutageRequest",
+    "RefuseRequest",
+    "decide_during_outage",
+    "max_retry_after",
+]
 
 _LONGEST_WAIT_MS: Millis = 1_200
 """For a group: callers leave after two seconds without an event, and the first one
@@ -46,22 +52,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AwaitReturn:
+class WaitForGroup:
     """Let it wait for a group, for so many milliseconds at most."""
 
-    at_most: Millis
+    max_wait: Millis
 
 
 @dataclass(frozen=True, slots=True)
-class TurnAway:
+class RefuseRequest:
     """Refuse it now; it has not run and may come back."""
 
     retry_after: Millis
 
 
-def in_outage(
-    request: OutageRequest, forms_in: Millis | None
-) -> AwaitReturn | TurnAway:
+def decide_during_outage(
+    request: OutageRequest, group_ready_in: Millis | None
+) -> WaitForGroup | RefuseRequest:
     """Decide about a request while all groups are down.
 
     Who comes for the first time is refused at once and told to come back as late as
@@ -72,30 +78,32 @@
     Parameters
     ----------
     request : OutageRequest
-    forms_in : int or None
+    group_ready_in : int or None
         Milliseconds until a group that forms will run; None if none forms.
 
     Examples
     --------
-    >>> in_outage(OutageRequest(left=8_000, timeout=8_000), forms_in=None)
-    TurnAway(retry_after=2666)
-    >>> in_outage(OutageRequest(left=5_300, timeout=8_000), forms_in=None)
-    AwaitReturn(at_most=1200)
-    >>> in_outage(OutageRequest(left=8_000, timeout=8_000), forms_in=400)
-    AwaitReturn(at_most=1200)
+    >>> first_call = OutageRequest(left=8_000, timeout=8_000)
+    >>> decide_during_outage(first_call, group_ready_in=None)
+    RefuseRequest(retry_after=2666)
+    >>> repeat = OutageRequest(left=5_300, timeout=8_000)
+    >>> decide_during_outage(repeat, group_ready_in=None)
+    WaitForGroup(max_wait=1200)
+    >>> decide_during_outage(first_call, group_ready_in=400)
+    WaitForGroup(max_wait=1200)
     """
-    if forms_in is not None and forms_in <= _LONGEST_WAIT_MS:
-        return AwaitReturn(_longest_wait(request))
+    if group_ready_in is not None and group_ready_in <= _LONGEST_WAIT_MS:
+        return WaitForGroup(_longest_wait(request))
     if request.left < _CAME_BACK_SHARE * request.timeout:
-        return AwaitReturn(_longest_wait(request))
-    return TurnAway(latest_return(request.left))
+        return WaitForGroup(_longest_wait(request))
+    return RefuseRequest(max_retry_after(request.left))
 
 
 def _longest_wait(request: OutageRequest) -> Millis:
     return min(int(request.left * _MOST_OF_LEFT), _LONGEST_WAIT_MS)
 
 
-def latest_return(left: Millis) -> Millis:
+def max_retry_after(left: Millis) -> Millis:
     """Return the longest ``Retry-After`` that a caller heeds.
 
     What comes back to a group that is still down is refused for good; those that a
--- a/src/azurefold/core/admission/queue.py
+++ b/src/azurefold/core/admission/queue.py
@@ -9,17 +9,17 @@
 from dataclasses import dataclass
 from heapq import heappop, heappush
 
-from azurefold.core.admission.drain import DrainRate, spread_retry
+from azurefold.core.admission.deficit_round_robin import DeficitRoundRobinQueue
+from azurefold.core.admission.drain import DrainRate, jitter_retry_after
 from azurefold.core.admission.messages import (
-    Offered,
+    OfferResult,
     Priority,
     Queued,
     QueueItem,
-    Refusal,
+    RefusalReason,
     Refused,
-    RefusedReason,
+    RefusedItem,
 )
-from azurefold.core.admission.shares import ClassQueue
 from azurefold.core.clock import Millis
 
 __all__ = ["FairQueue", "QueuePolicy"]
@@ -68,7 +68,8 @@
     def __init__(self, policy: QueuePolicy | None = None) -> None:
         self._policy = policy or QueuePolicy()
         self._classes = {
-            priority: ClassQueue(self._policy.quantum) for priority in Priority
+            priority: DeficitRoundRobinQueue(self._policy.quantum)
+            for priority in Priority
         }
         self._drains = {priority: DrainRate() for priority in Priority}
         self._items: dict[str, QueueItem] = {}
@@ -80,16 +81,16 @@
     def __len__(self) -> int:
         return len(self._items)
 
-    def set_shares(self, shares: Mapping[str, float]) -> None:
+    def set_weights(self, shares: Mapping[str, float]) -> None:
         """Take in organisations' weights; one that is not named has 1."""
         for queue in self._classes.values():
-            queue.set_shares(shares)
+            queue.set_weights(shares)
 
     def length_of(self, priority: Priority) -> int:
         """Return how many requests of a class wait."""
         return len(self._classes[priority])
 
-    def offer(self, item: QueueItem, now: Millis) -> Offered:
+    def offer(self, item: QueueItem, now: Millis) -> OfferResult:
         """Queue a request, or refuse it.
 
         Raises
@@ -109,9 +110,9 @@
             return Queued()
         victim = self._victim_for(item)
         if victim is None:
-            return self._refused(item, RefusedReason.QUEUE_FULL, now)
+            return self._refused(item, RefusalReason.QUEUE_FULL, now)
         self._remove(victim, now)
-        refusal = self._refusal(victim, RefusedReason.DISPLACED, now)
+        refusal = self._refusal(victim, RefusalReason.DISPLACED, now)
         self._push(item, now)
         return Queued(displaced=(refusal,))
 
@@ -133,19 +134,19 @@
             if len(queue):
                 self._drains[priority].waiting(now)
 
-    def take(self, now: Millis, *, drafts: bool = True) -> QueueItem | None:
+    def take(self, now: Millis, *, include_drafts: bool = True) -> QueueItem | None:
         """Take the request that goes next, or ``None`` if nothing waits.
 
         Parameters
         ----------
         now : int
             The present time.
-        drafts : bool, default=True
+        include_drafts : bool, default=True
             Whether a draft may be taken. Without, the last room at the
             endpoints is left to confirmations.
         """
         self._sweep(now)
-        priority = self._next_class() if drafts else self._confirmations_only()
+        priority = self._next_class() if include_drafts else self._confirmations_only()
         if priority is None:
             return None
         queue = self._classes[priority]
@@ -155,7 +156,7 @@
         self._account(item)
         return item
 
-    def _pop(self, queue: ClassQueue, now: Millis) -> QueueItem | None:
+    def _pop(self, queue: DeficitRoundRobinQueue, now: Millis) -> QueueItem | None:
         """Take the next request of a class; under overload one that can be on time.
 
         What goes wrong without: each organisation has one or two requests waiting at
@@ -167,11 +168,11 @@
             return queue.pop()
         return queue.pop_on_time(now) or queue.pop(newest=True)
 
-    def expire(self, now: Millis) -> list[Refusal]:
+    def expire(self, now: Millis) -> list[RefusedItem]:
         """Take out the requests that can no longer meet their deadline."""
         self._sweep(now)
         late, self._late = self._late, []
-        return [self._refusal(item, RefusedReason.DEADLINE, now) for item in late]
+        return [self._refusal(item, RefusalReason.DEADLINE, now) for item in late]
 
     def withdraw(self, request_id: str, now: Millis) -> QueueItem | None:
         """Take out a request whose caller has gone; ``None`` if unknown."""
@@ -201,13 +202,13 @@
         ahead = min(queue.tokens + item.tokens, own * (others + weight) / weight)
         return ahead / rate if rate > 0 else float("inf")
 
-    def _reason_to_refuse(self, item: QueueItem, now: Millis) -> RefusedReason | None:
+    def _reason_to_refuse(self, item: QueueItem, now: Millis) -> RefusalReason | None:
         queue = self._classes[item.priority]
         if queue.length_of(item.organisation) >= self._policy.max_per_organisation:
-            return RefusedReason.ORGANISATION_FULL
+            return RefusalReason.ORGANISATION_FULL
         expected = 0.0 if self._paused else self.expected_wait(item, now)
         if now + expected > item.latest_start:
-            return RefusedReason.DEADLINE
+            return RefusalReason.DEADLINE
         return None
 
     def _victim_for(self, item: QueueItem) -> QueueItem | None:
@@ -232,7 +233,7 @@
         owed = self._draft_credit >= drafts.head().tokens
         return Priority.DRAFT if owed else Priority.CONFIRMATION
 
-    def _is_overloaded(self, queue: ClassQueue, now: Millis) -> bool:
+    def _is_overloaded(self, queue: DeficitRoundRobinQueue, now: Millis) -> bool:
         after = self._policy.newest_first_after
         return after is not None and now - queue.oldest().queued_at >= after
 
@@ -277,11 +278,13 @@
         item = self._items.get(request_id)
         return item is not None and item.latest_start == latest_start
 
-    def _refusal(self, item: QueueItem, reason: RefusedReason, now: Millis) -> Refusal:
-        return Refusal(item, self._refused(item, reason, now))
+    def _refusal(
+        self, item: QueueItem, reason: RefusalReason, now: Millis
+    ) -> RefusedItem:
+        return RefusedItem(item, self._refused(item, reason, now))
 
-    def _refused(self, item: QueueItem, reason: RefusedReason, now: Millis) -> Refused:
+    def _refused(self, item: QueueItem, reason: RefusalReason, now: Millis) -> Refused:
         rate = self._drains[item.priority].rate(now)
         backlog = self._classes[item.priority].tokens
         wait = backlog / rate if rate else 0.0
-        return Refused(reason, spread_retry(wait, item.draw))
+        return Refused(reason, jitter_retry_after(wait, item.jitter))
--- a/src/azurefold/core/attempts/claims.py
+++ b/src/azurefold/core/attempts/claims.py
@@ -11,9 +11,9 @@
 __all__ = [
     "Claim",
     "ClaimDecision",
-    "Follow",
+    "FollowAttempt",
     "KeyReused",
-    "Mine",
+    "ClaimAcquired",
     "claim_key",
     "decide_claim",
     "request_digest",
@@ -43,12 +43,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Mine:
+class ClaimAcquired:
     """The row names the own attempt: dispatch it."""
 
 
 @dataclass(frozen=True, slots=True)
-class Follow:
+class FollowAttempt:
     """Another attempt holds the key: give the caller that one's answer."""
 
     claim: Claim
@@ -59,7 +59,7 @@
     """The key was used for another request before."""
 
 
-ClaimDecision = Mine | Follow | KeyReused
+ClaimDecision = ClaimAcquired | FollowAttempt | KeyReused
 
 
 def claim_key(organisation: str, service: str, idempotency_key: str) -> str:
@@ -83,7 +83,7 @@
     id tells an own write that took effect from somebody else's.
     """
     if row.attempt_id == own.attempt_id:
-        return Mine()
+        return ClaimAcquired()
     if row.request != own.request:
         return KeyReused()
-    return Follow(row)
+    return FollowAttempt(row)
--- a/src/azurefold/core/attempts/crashes.py
+++ b/src/azurefold/core/attempts/crashes.py
@@ -234,7 +234,7 @@
             for identity, suspect in latest
         }
 
-    def changed_locally_since(self, then: Millis) -> bool:
+    def has_changed_locally_since(self, then: Millis) -> bool:
         """Whether this node itself observed a crash or an answer after ``then``."""
         return self._local_change_at is not None and self._local_change_at > then
 
--- a/src/azurefold/core/attempts/events.py
+++ b/src/azurefold/core/attempts/events.py
@@ -10,7 +10,7 @@
 
 from azurefold.core.clock import Millis
 
-__all__ = ["EventPace", "EventSplitter", "PassLengths"]
+__all__ = ["EventTiming", "EventSplitter", "EventGapMonitor"]
 
 _END = b"\n\n"
 _END_WITH_RETURNS = b"\r\n\r\n"
@@ -38,7 +38,7 @@
     ----------
     last_id : str or None
         Id of the last whole event, from which the stream can be resumed.
-    passed : int
+    event_count : int
         Whole events so far.
 
     Examples
@@ -46,18 +46,18 @@
     >>> splitter = EventSplitter()
     >>> splitter.feed(b"id: 1\ndata: a\n\nid: 2\nda")
     b'id: 1\ndata: a\n\n'
-    >>> splitter.last_id, splitter.has_rest
+    >>> splitter.last_id, splitter.has_partial_event
     ('1', True)
-    >>> splitter.feed(b"ta: b\n\n"), splitter.last_id, splitter.has_rest
+    >>> splitter.feed(b"ta: b\n\n"), splitter.last_id, splitter.has_partial_event
     (b'id: 2\ndata: b\n\n', '2', False)
     """
 
     last_id: str | None = None
-    passed: int = 0
+    event_count: int = 0
     _rest: bytearray = field(default_factory=bytearray)
 
     @property
-    def has_rest(self) -> bool:
+    def has_partial_event(self) -> bool:
         """Whether an event has begun and not ended."""
         return bool(self._rest)
 
@@ -72,7 +72,7 @@
         self._note_ids(whole)
         return whole
 
-    def drop_rest(self) -> None:
+    def discard_partial_event(self) -> None:
         """Forget the event that has begun: its endpoint will not end it."""
         self._rest.clear()
 
@@ -90,11 +90,11 @@
             if line.startswith(_ID):
                 self.last_id = line[len(_ID) :].strip().decode("latin-1")
             elif not line:
-                self.passed += 1
+                self.event_count += 1
 
 
 @dataclass(slots=True)
-class EventPace:
+class EventTiming:
     """When a stream's events were passed on.
 
     Parameters
@@ -107,7 +107,7 @@
     _first: Millis | None = None
     _last: Millis = 0
 
-    def passed(self, now: Millis) -> Millis | None:
+    def record_events(self, now: Millis) -> Millis | None:
         """Note that events were passed on; return the gap, None at the first."""
         if self._first is None:
             self._first = self._last = now
@@ -117,22 +117,22 @@
         self._last = now
         return gap
 
-    def first_after(self, began: Millis) -> Millis | None:
+    def time_to_first_event(self, began: Millis) -> Millis | None:
         """Return the time from ``began`` to the first event; None without one.
 
         Examples
         --------
-        >>> pace = EventPace()
+        >>> pace = EventTiming()
         >>> for now in (130, 190, 300):
-        ...     _ = pace.passed(now)
-        >>> pace.first_after(100), pace.longest_gap
+        ...     _ = pace.record_events(now)
+        >>> pace.time_to_first_event(100), pace.longest_gap
         (30, 110)
         """
         return None if self._first is None else self._first - began
 
 
 @dataclass(slots=True)
-class PassLengths:
+class EventGapMonitor:
     """Whether the gaps between streams' events have grown of late.
 
     All ranks of a group compute each pass together, so the gaps of any stream show
@@ -154,15 +154,15 @@
         self._recent += (1 - exp(-elapsed / _RECENT_MS)) * (gap - self._recent)
         self._usual += (1 - exp(-elapsed / _USUAL_MS)) * (gap - self._usual)
 
-    def have_grown(self, now: Millis) -> bool:
+    def has_increased(self, now: Millis) -> bool:
         """Whether gaps are longer than they were, and long enough to matter."""
         if now - self._settled_at < _REFRACTORY_MS:
             return False
         is_long = self._recent >= _LEAST_GAP_MS
         return is_long and self._recent > _GROWTH * self._usual
 
-    def settle(self, now: Millis) -> None:
+    def reset_baseline(self, now: Millis) -> None:
         """Take the present gaps for the usual ones: somebody looks into them."""
-        if self.have_grown(now):
+        if self.has_increased(now):
             self._usual = self._recent
             self._settled_at = now
--- a/src/azurefold/core/attempts/frames.py
+++ b/src/azurefold/core/attempts/frames.py
@@ -10,15 +10,15 @@
 from enum import StrEnum
 
 __all__ = [
-    "Assembler",
-    "Dropped",
+    "AnswerAssembler",
+    "FrameDropped",
     "DropReason",
-    "End",
-    "Finished",
+    "EndFrame",
+    "AnswerComplete",
     "Frame",
-    "Gap",
-    "Passed",
-    "Spoiled",
+    "TextMissing",
+    "NewText",
+    "AnswerCorrupted",
     "text_digest",
 ]
 
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class End:
+class EndFrame:
     """The end of an answer.
 
     Parameters
@@ -67,7 +67,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Passed:
+class NewText:
     """Text that the caller has not had yet, starting at ``offset``."""
 
     offset: int
@@ -75,40 +75,40 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Dropped:
+class FrameDropped:
     """A frame that was not passed on."""
 
     reason: DropReason
 
 
 @dataclass(frozen=True, slots=True)
-class Gap:
+class TextMissing:
     """Text before this frame is missing; resume from ``resume_from``."""
 
     resume_from: int
 
 
 @dataclass(frozen=True, slots=True)
-class Finished:
+class AnswerComplete:
     """The whole answer was passed on and its digest fits."""
 
     total: int
 
 
 @dataclass(frozen=True, slots=True)
-class Spoiled:
+class AnswerCorrupted:
     """What was passed on is not the answer that the endpoint gave."""
 
     detail: str
 
 
 def text_digest(text: str) -> str:
-    """Return the digest that an :class:`End` carries for ``text``."""
+    """Return the digest that an :class:`EndFrame` carries for ``text``."""
     return hashlib.sha256(text.encode()).hexdigest()
 
 
 @dataclass(slots=True)
-class Assembler:
+class AnswerAssembler:
     """Turn frames in any order and number into one answer.
 
     Only the next offset of the own attempt is passed on. What would go wrong
@@ -122,47 +122,53 @@
         The attempt whose frames are wanted.
     next_offset : int, default=0
         Characters that the caller already has.
-    digest_known : bool, default=True
+    can_verify_digest : bool, default=True
         False after a resume by a caller, where the text before
         ``next_offset`` is not here and only the length can be checked.
     """
 
     attempt_id: str
     next_offset: int = 0
-    digest_known: bool = True
+    can_verify_digest: bool = True
     _sha: "hashlib._Hash" = field(default_factory=hashlib.sha256)
     _finished: bool = False
 
-    def accept(self, frame: Frame | End) -> Passed | Dropped | Gap | Finished | Spoiled:
+    def accept(
+        self, frame: Frame | EndFrame
+    ) -> NewText | FrameDropped | TextMissing | AnswerComplete | AnswerCorrupted:
         """Take one frame and say what to do with it."""
         if frame.attempt_id != self.attempt_id:
-            return Dropped(DropReason.FOREIGN)
+            return FrameDropped(DropReason.FOREIGN)
         if self._finished:
-            return Dropped(DropReason.AFTER_END)
+            return FrameDropped(DropReason.AFTER_END)
         match frame:
             case Frame():
                 return self._accept_text(frame)
-            case End():
+            case EndFrame():
                 return self._accept_end(frame)
 
-    def _accept_text(self, frame: Frame) -> Passed | Dropped | Gap:
+    def _accept_text(self, frame: Frame) -> NewText | FrameDropped | TextMissing:
         if frame.offset > self.next_offset:
-            return Gap(self.next_offset)
+            return TextMissing(self.next_offset)
         known = self.next_offset - frame.offset
         new = frame.text[known:] if known else frame.text
         if not new:
-            return Dropped(DropReason.DUPLICATE)
+            return FrameDropped(DropReason.DUPLICATE)
         offset = self.next_offset
         self._sha.update(new.encode())
         self.next_offset += len(new)
-        return Passed(offset, new)
+        return NewText(offset, new)
 
-    def _accept_end(self, end: End) -> Gap | Finished | Spoiled:
+    def _accept_end(
+        self, end: EndFrame
+    ) -> TextMissing | AnswerComplete | AnswerCorrupted:
         if end.total > self.next_offset:
-            return Gap(self.next_offset)
+            return TextMissing(self.next_offset)
         if end.total < self.next_offset:
-            return Spoiled(f"{self.next_offset} characters came, {end.total} were sent")
-        if self.digest_known and self._sha.hexdigest() != end.digest:
-            return Spoiled("the digest of the text does not fit")
+            return AnswerCorrupted(
+                f"{self.next_offset} characters came, {end.total} were sent"
+            )
+        if self.can_verify_digest and self._sha.hexdigest() != end.digest:
+            return AnswerCorrupted("the digest of the text does not fit")
         self._finished = True
-        return Finished(end.total)
+        return AnswerComplete(end.total)
--- a/src/azurefold/core/attempts/ids.py
+++ b/src/azurefold/core/attempts/ids.py
@@ -4,29 +4,35 @@
 
 from azurefold.core.clock import Millis
 
-__all__ = ["AnswerId", "BadAnswerIdError", "attempt_id", "minted_at", "parse_answer_id"]
+__all__ = [
+    "AnswerId",
+    "InvalidAnswerIdError",
+    "new_attempt_id",
+    "attempt_created_at",
+    "parse_answer_id",
+]
 
 _SEPARATOR = "~"
 _PARTS = 4
 _TIME_DIGITS = 12
 
 
-class BadAnswerIdError(ValueError):
+class InvalidAnswerIdError(ValueError):
     """An answer id that was not given out by azurefold."""
 
 
-def attempt_id(wall_now: Millis, random_hex: str) -> str:
+def new_attempt_id(wall_now: Millis, random_hex: str) -> str:
     """Return a new attempt id that tells when it was made.
 
     Examples
     --------
-    >>> attempt_id(255, "beef")
+    >>> new_attempt_id(255, "beef")
     '0000000000ffbeef'
     """
     return f"{wall_now:0{_TIME_DIGITS}x}{random_hex}"
 
 
-def minted_at(attempt: str) -> Millis:
+def attempt_created_at(attempt: str) -> Millis:
     """Return the wall-clock time at which an attempt id was made.
 
     An id of another form counts as made at the epoch: nothing good is ever
@@ -34,9 +40,9 @@
 
     Examples
     --------
-    >>> minted_at("0000000000ffbeef")
+    >>> attempt_created_at("0000000000ffbeef")
     255
-    >>> minted_at("nonsense")
+    >>> attempt_created_at("nonsense")
     0
     """
     try:
@@ -84,13 +90,13 @@
 
     Raises
     ------
-    BadAnswerIdError
+    InvalidAnswerIdError
         If the text has another form.
     """
     parts = text.split(_SEPARATOR)
     well_formed = len(parts) == _PARTS and all(parts) and parts[3].isdecimal()
     if not well_formed or len(parts[3]) > 12:
-        raise BadAnswerIdError(
+        raise InvalidAnswerIdError(
             "send back the id of the last event as it came, "
             "in the form endpoint~incarnation~attempt~offset"
         )
--- a/src/azurefold/core/attempts/ledger.py
+++ b/src/azurefold/core/attempts/ledger.py
@@ -9,17 +9,17 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from azurefold.core.attempts.ids import minted_at
+from azurefold.core.attempts.ids import attempt_created_at
 from azurefold.core.clock import Millis
 
 __all__ = [
     "Accepted",
-    "Known",
+    "AlreadyKnown",
     "Ledger",
     "NotRun",
     "OutcomeUnknown",
     "Phase",
-    "Refusal",
+    "AttemptRefusalReason",
     "Refused",
     "new_ledger",
 ]
@@ -39,7 +39,7 @@
     FAILED = "failed"
 
 
-class Refusal(StrEnum):
+class AttemptRefusalReason(StrEnum):
     """Why an attempt was refused; each of them means that it was not run."""
 
     WRONG_INCARNATION = "wrong_incarnation"
@@ -56,7 +56,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Known:
+class AlreadyKnown:
     """The attempt was seen before; attach to it, do not run it again."""
 
     phase: Phase
@@ -66,7 +66,7 @@
 class Refused:
     """The attempt was not run, and never will be under this id."""
 
-    reason: Refusal
+    reason: AttemptRefusalReason
 
 
 @dataclass(frozen=True, slots=True)
@@ -104,25 +104,25 @@
     _tombstones: OrderedDict[str, Millis] = field(default_factory=OrderedDict)
     _forgotten_up_to: Millis = -1
     _running: int = 0
-    _leaving: bool = False
+    _is_leaving: bool = False
 
     @property
-    def running(self) -> int:
+    def running_count(self) -> int:
         """Attempts in flight."""
         return self._running
 
     @property
-    def leaving(self) -> bool:
+    def is_leaving(self) -> bool:
         """Whether new attempts are refused for good."""
-        return self._leaving
+        return self._is_leaving
 
-    def leave(self) -> None:
+    def start_leaving(self) -> None:
         """Refuse new attempts from now on.
 
         The refusal is made here, at the endpoint itself: an entry that has
         not yet heard of the leaving still cannot bring it new work.
         """
-        self._leaving = True
+        self._is_leaving = True
 
     def dispatch(
         self,
@@ -131,7 +131,7 @@
         organisation: str,
         remaining_ms: Millis,
         now: Millis,
-    ) -> Accepted | Known | Refused:
+    ) -> Accepted | AlreadyKnown | Refused:
         """Decide whether an attempt runs.
 
         Parameters
@@ -149,24 +149,24 @@
 
         Returns
         -------
-        Accepted, Known or Refused
+        Accepted, AlreadyKnown or Refused
         """
         if attempt_id in self._tombstones:
-            return Refused(Refusal.TOMBSTONED)
+            return Refused(AttemptRefusalReason.TOMBSTONED)
         entry = self._entries.get(attempt_id)
         if entry is not None and entry.organisation == organisation:
-            return Known(entry.phase)
+            return AlreadyKnown(entry.phase)
         refusal = self._refusal(attempt_id, incarnation, remaining_ms)
         if entry is not None or refusal is not None:
             self._tombstones[attempt_id] = now
-            return Refused(refusal or Refusal.TOMBSTONED)
+            return Refused(refusal or AttemptRefusalReason.TOMBSTONED)
         self._entries[attempt_id] = _Entry(organisation, Phase.RUNNING)
         self._running += 1
         return Accepted()
 
     def settle(
         self, attempt_id: str, incarnation: str, organisation: str, now: Millis
-    ) -> Known | NotRun | OutcomeUnknown:
+    ) -> AlreadyKnown | NotRun | OutcomeUnknown:
         """Answer whether an attempt ran, and make the answer final.
 
         An attempt not seen is tombstoned before ``NotRun`` is said. Without
@@ -175,7 +175,7 @@
         """
         entry = self._entries.get(attempt_id)
         if entry is not None and entry.organisation == organisation:
-            return Known(entry.phase)
+            return AlreadyKnown(entry.phase)
         if attempt_id in self._tombstones:
             return NotRun()
         if incarnation != self.incarnation or self._may_be_forgotten(attempt_id):
@@ -183,7 +183,7 @@
         self._tombstones[attempt_id] = now
         return NotRun()
 
-    def phase_of(self, attempt_id: str, organisation: str) -> Phase | None:
+    def get_phase(self, attempt_id: str, organisation: str) -> Phase | None:
         """Return the phase of an attempt of this organisation, if seen.
 
         Answers belong to the organisation that asked for them; to any other
@@ -199,7 +199,7 @@
         self._entries[attempt_id] = _Entry(organisation, Phase.RUNNING)
         self._running += 1
 
-    def ended(self, attempt_id: str, phase: Phase, now: Millis) -> None:
+    def record_end(self, attempt_id: str, phase: Phase, now: Millis) -> None:
         """Record that a running attempt is done or has failed."""
         entry = self._entries[attempt_id]
         if entry.phase is not Phase.RUNNING:
@@ -208,7 +208,7 @@
         self._settled[attempt_id] = now
         self._running -= 1
 
-    def texts_to_free(self, now: Millis) -> list[str]:
+    def expired_texts(self, now: Millis) -> list[str]:
         """Return attempts whose text is kept no longer.
 
         Their ids are kept on: without them a repeat of a request that ran
@@ -221,7 +221,7 @@
             old.append(attempt_id)
         return old
 
-    def forget_old(self, now: Millis) -> None:
+    def evict_expired(self, now: Millis) -> None:
         """Forget ids that are too old to be asked for.
 
         From then on nothing is said of any id as old as those: see
@@ -231,27 +231,27 @@
             while ids and now - next(iter(ids.values())) > _KEPT_ID_MS:
                 attempt_id, _ = ids.popitem(last=False)
                 self._entries.pop(attempt_id, None)
-                minted = minted_at(attempt_id)
+                minted = attempt_created_at(attempt_id)
                 self._forgotten_up_to = max(self._forgotten_up_to, minted)
 
     def _may_be_forgotten(self, attempt_id: str) -> bool:
         if self._forgotten_up_to < 0:
             return False
-        return minted_at(attempt_id) <= self._forgotten_up_to + _CLOCK_SKEW_MS
+        return attempt_created_at(attempt_id) <= self._forgotten_up_to + _CLOCK_SKEW_MS
 
     def _refusal(
         self, attempt_id: str, incarnation: str, remaining_ms: Millis
-    ) -> Refusal | None:
+    ) -> AttemptRefusalReason | None:
         if incarnation != self.incarnation:
-            return Refusal.WRONG_INCARNATION
+            return AttemptRefusalReason.WRONG_INCARNATION
         if self._may_be_forgotten(attempt_id):
-            return Refusal.TOO_OLD
-        if self._leaving:
-            return Refusal.LEAVING
+            return AttemptRefusalReason.TOO_OLD
+        if self._is_leaving:
+            return AttemptRefusalReason.LEAVING
         if remaining_ms <= 0:
-            return Refusal.DEADLINE_PASSED
+            return AttemptRefusalReason.DEADLINE_PASSED
         if self._running >= self.max_running:
-            return Refusal.TOO_MANY
+            return AttemptRefusalReason.TOO_MANY
         return None
 
 
--- a/src/azurefold/core/attempts/outcome.py
+++ b/src/azurefold/core/attempts/outcome.py
@@ -5,10 +5,10 @@
 
 from azurefold.core.clock import Millis
 
-__all__ = ["Failure", "Ran"]
+__all__ = ["Failure", "RunStatus"]
 
 
-class Ran(StrEnum):
+class RunStatus(StrEnum):
     """Whether a request ran, as far as can be said truthfully."""
 
     NOT_RUN = "not_run"
@@ -22,7 +22,7 @@
 
     Parameters
     ----------
-    ran : Ran
+    ran : RunStatus
         Whether the request ran.
     reason : str
         A short machine-readable word such as ``"queue_full"``.
@@ -30,13 +30,13 @@
         A sentence for people that says what to do.
     retry_after_ms : int or None
         When to come back, or None where coming back does not help.
-    this_call : Ran or None
+    this_call : RunStatus or None
         Where ``ran`` speaks for a key that earlier calls may have used: what
         is known of this call alone.
     """
 
-    ran: Ran
+    ran: RunStatus
     reason: str
     detail: str
     retry_after_ms: Millis | None = None
-    this_call: Ran | None = None
+    this_call: RunStatus | None = None
--- a/src/azurefold/core/attempts/course.py
+++ b/src/azurefold/core/attempts/request_state.py
@@ -9,40 +9,40 @@
 from dataclasses import dataclass, replace
 from enum import StrEnum
 
-from azurefold.core.attempts.outcome import Failure, Ran
+from azurefold.core.attempts.outcome import Failure, RunStatus
 from azurefold.core.clock import Millis
 
 __all__ = [
-    "AgentSilent",
-    "AskAgent",
+    "AgentUnresponsive",
+    "QueryAttemptStatus",
     "ConnectionLost",
-    "Course",
+    "RequestState",
     "DeadlinePassed",
     "DispatchAgain",
     "EndpointFailed",
     "Event",
     "Fail",
-    "NoTextLeft",
+    "AnswerTextExpired",
     "NotDispatched",
     "ResumeAt",
-    "SettledAs",
-    "Settlement",
-    "Step",
+    "StatusReported",
+    "AttemptStatus",
+    "NextAction",
 ]
 
 _MAX_ASKS = 3
 _RETRY_AFTER_MS: Millis = 1_000
 _DETAIL = {
-    Ran.NOT_RUN: "The request was not run; send it again.",
-    Ran.RAN: "The answer broke off and cannot be finished.",
-    Ran.UNKNOWN: (
+    RunStatus.NOT_RUN: "The request was not run; send it again.",
+    RunStatus.RAN: "The answer broke off and cannot be finished.",
+    RunStatus.UNKNOWN: (
         "Whether the request ran cannot be found out. Ask again with the same "
         "Idempotency-Key: it will not be run a second time."
     ),
 }
 
 
-class Settlement(StrEnum):
+class AttemptStatus(StrEnum):
     """What an agent says of an attempt when asked."""
 
     RUNNING = "running"
@@ -65,14 +65,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SettledAs:
+class StatusReported:
     """The agent answered, over a new connection, what became of it."""
 
-    state: Settlement
+    state: AttemptStatus
 
 
 @dataclass(frozen=True, slots=True)
-class AgentSilent:
+class AgentUnresponsive:
     """The question over a new connection got no answer either."""
 
 
@@ -82,11 +82,11 @@
 
     Parameters
     ----------
-    ran : Ran
+    ran : RunStatus
         Whether the endpoint ran the request.
     """
 
-    ran: Ran
+    ran: RunStatus
 
 
 @dataclass(frozen=True, slots=True)
@@ -95,18 +95,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NoTextLeft:
+class AnswerTextExpired:
     """The agent no longer has the text to go on from."""
 
 
 Event = (
     NotDispatched
     | ConnectionLost
-    | SettledAs
-    | AgentSilent
+    | StatusReported
+    | AgentUnresponsive
     | EndpointFailed
     | DeadlinePassed
-    | NoTextLeft
+    | AnswerTextExpired
 )
 
 
@@ -116,7 +116,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AskAgent:
+class QueryAttemptStatus:
     """Ask the agent over a new connection what became of the attempt."""
 
 
@@ -134,29 +134,29 @@
     failure: Failure
 
 
-Step = DispatchAgain | AskAgent | ResumeAt | Fail
+NextAction = DispatchAgain | QueryAttemptStatus | ResumeAt | Fail
 
 
 @dataclass(slots=True)
-class Course:
+class RequestState:
     """State of one request between its attempts.
 
     Parameters
     ----------
-    idempotent : bool
+    is_idempotent : bool
         Whether running the request twice does no harm.
-    resumable : bool
+    is_resumable : bool
         Whether another endpoint can go on from any place in the answer. Where
         answers are kept by agents this is not needed: the agent resumes them.
     """
 
-    idempotent: bool
-    passed: int = 0
-    resumable: bool = False
+    is_idempotent: bool
+    forwarded: int = 0
+    is_resumable: bool = False
     _asks: int = 0
     _perhaps_ran: bool = False
 
-    def next(self, event: Event, may_retry: Callable[[], bool]) -> Step:
+    def handle_event(self, event: Event, may_retry: Callable[[], bool]) -> NextAction:
         """Say what to do after ``event``.
 
         Parameters
@@ -168,80 +168,82 @@
 
         Returns
         -------
-        Step
+        NextAction
         """
         match event:
             case NotDispatched(reason=reason):
                 return self._not_run(reason, may_retry)
             case ConnectionLost():
                 return self._ask()
-            case SettledAs(state=state):
+            case StatusReported(state=state):
                 return self._settled(state, may_retry)
-            case AgentSilent():
+            case AgentUnresponsive():
                 return self._silent(may_retry)
-            case EndpointFailed(ran=Ran.NOT_RUN):
+            case EndpointFailed(ran=RunStatus.NOT_RUN):
                 return self._not_run("endpoint_unreachable", may_retry)
             case EndpointFailed():
                 return self._unknown("endpoint_failed", may_retry)
             case DeadlinePassed():
                 return self._unknown("deadline_passed", _never)
-            case NoTextLeft():
+            case AnswerTextExpired():
                 return self._unknown("answer_not_kept", may_retry)
 
-    def refused(self, failure: Failure) -> Failure:
+    def correct_refusal(self, failure: Failure) -> Failure:
         """Return the truth of a refusal that came after earlier attempts.
 
         A retry that finds no free endpoint was itself not run. But if an
         earlier attempt may have run, "not run" would be untrue of the request.
         """
-        if failure.ran is Ran.NOT_RUN and self._perhaps_ran:
-            return replace(failure, ran=Ran.UNKNOWN)
+        if failure.ran is RunStatus.NOT_RUN and self._perhaps_ran:
+            return replace(failure, ran=RunStatus.UNKNOWN)
         return failure
 
-    def heard(self) -> None:
+    def record_progress(self) -> None:
         """Note that the agent is sending, so that asks are counted anew."""
         self._asks = 0
 
-    def _ask(self) -> Step:
+    def _ask(self) -> NextAction:
         self._asks += 1
-        return AskAgent()
+        return QueryAttemptStatus()
 
-    def _silent(self, may_retry: Callable[[], bool]) -> Step:
+    def _silent(self, may_retry: Callable[[], bool]) -> NextAction:
         if self._asks < _MAX_ASKS:
             return self._ask()
         return self._unknown("agent_gone", may_retry)
 
-    def _settled(self, state: Settlement, may_retry: Callable[[], bool]) -> Step:
+    def _settled(
+        self, state: AttemptStatus, may_retry: Callable[[], bool]
+    ) -> NextAction:
         match state:
-            case Settlement.NOT_RUN:
+            case AttemptStatus.NOT_RUN:
                 return self._not_run("not_seen", may_retry)
-            case Settlement.UNKNOWN:
+            case AttemptStatus.UNKNOWN:
                 return self._unknown("agent_restarted", may_retry)
             case _:
-                return ResumeAt(self.passed)
+                return ResumeAt(self.forwarded)
 
-    def _not_run(self, reason: str, may_retry: Callable[[], bool]) -> Step:
-        if self.passed > 0:
+    def _not_run(self, reason: str, may_retry: Callable[[], bool]) -> NextAction:
+        if self.forwarded > 0:
             return self._unknown(reason, may_retry)
         if may_retry():
             return self._again()
-        ran = Ran.UNKNOWN if self._perhaps_ran else Ran.NOT_RUN
+        ran = RunStatus.UNKNOWN if self._perhaps_ran else RunStatus.NOT_RUN
         return _fail(ran, reason, _DETAIL[ran])
 
-    def _unknown(self, reason: str, may_retry: Callable[[], bool]) -> Step:
+    def _unknown(self, reason: str, may_retry: Callable[[], bool]) -> NextAction:
         # Text that a caller has read cannot be taken back, and a second run
         # would go on with another text. So from the first character on there
         # is only resuming, by the agent that keeps the text or by an endpoint
         # that can go on from any place, or an explicit end.
-        if self.passed > 0 and not self.resumable:
-            return _fail(Ran.RAN, reason, _DETAIL[Ran.RAN])
+        if self.forwarded > 0 and not self.is_resumable:
+            return _fail(RunStatus.RAN, reason, _DETAIL[RunStatus.RAN])
         self._perhaps_ran = True
-        if self.idempotent and may_retry():
+        if self.is_idempotent and may_retry():
             return self._again()
-        ran = Ran.RAN if self.passed > 0 else Ran.UNKNOWN
+        ran = RunStatus.RAN if self.forwarded > 0 else RunStatus.UNKNOWN
         return _fail(ran, reason, _DETAIL[ran])
 
-    def _again(self) -> Step:
+    def _again(self) -> NextAction:
         self._asks = 0
         return DispatchAgain()
 
@@ -250,5 +252,5 @@
     return False
 
 
-def _fail(ran: Ran, reason: str, detail: str) -> Fail:
+def _fail(ran: RunStatus, reason: str, detail: str) -> Fail:
     return Fail(Failure(ran, reason, detail, _RETRY_AFTER_MS))
--- a/src/azurefold/entry/admission.py
+++ b/src/azurefold/entry/admission.py
@@ -8,9 +8,9 @@
 
 from gevent.event import AsyncResult
 
-from azurefold.core.admission.messages import Priority, QueueItem, Refusal, Refused
+from azurefold.core.admission.messages import Priority, QueueItem, Refused, RefusedItem
 from azurefold.core.admission.queue import FairQueue, QueuePolicy
-from azurefold.core.attempts.outcome import Failure, Ran
+from azurefold.core.attempts.outcome import Failure, RunStatus
 from azurefold.core.clock import Clock, Millis
 from azurefold.core.routing.messages import (
     Answered,
@@ -63,7 +63,7 @@
     route : RouteRequest
     awaits_group : bool
         Whether it waits where all groups are down; others are refused at once.
-    on_time_by : int or None
+    latest_on_time_start : int or None
         The last moment at which it can get an endpoint and be answered on time.
     """
 
@@ -74,7 +74,7 @@
     deadline: Millis
     route: RouteRequest = _NO_REQUEST
     awaits_group: bool = False
-    on_time_by: Millis | None = None
+    latest_on_time_start: Millis | None = None
 
 
 def _waits() -> dict[Priority, Counts]:
@@ -239,7 +239,7 @@
     def _take(self, now: Millis) -> QueueItem | None:
         # The last room is left to confirmations: a draft that took it would
         # make the next one wait for as long as the draft runs.
-        return self.queue.take(now, drafts=self.pool.draft_room > 0)
+        return self.queue.take(now, include_drafts=self.pool.draft_room > 0)
 
     def _part_of_room(self, now: Millis) -> int:
         """Return how many requests may go now to places that all nodes see.
@@ -317,9 +317,9 @@
             ticket.priority,
             ticket.tokens,
             ticket.deadline,
-            draw=self.draw.random(),
+            jitter=self.draw.random(),
             queued_at=now,
-            on_time_by=ticket.on_time_by,
+            latest_on_time_start=ticket.latest_on_time_start,
         )
         offered = self.queue.offer(item, now)
         if isinstance(offered, Refused):
@@ -352,7 +352,7 @@
             case NoneAvailable(reason=reason, retry_after_ms=retry_after):
                 result.set(_failure(reason.value, retry_after))
 
-    def _answer_refusal(self, refusal: Refusal) -> None:
+    def _answer_refusal(self, refusal: RefusedItem) -> None:
         _, result = self._waiting.pop(refusal.item.request_id)
         refused = refusal.refused
         result.set(_failure(refused.reason.value, refused.retry_after_ms))
@@ -371,7 +371,7 @@
 
 
 def _failure(reason: str, retry_after_ms: Millis) -> Failure:
-    return Failure(Ran.NOT_RUN, reason, _REFUSED_DETAIL, retry_after_ms)
+    return Failure(RunStatus.NOT_RUN, reason, _REFUSED_DETAIL, retry_after_ms)
 
 
 def new_admission(
--- a/src/azurefold/entry/agents.py
+++ b/src/azurefold/entry/agents.py
@@ -7,7 +7,7 @@
 import msgspec
 from geventhttpclient import HTTPClient
 
-from azurefold.core.attempts.course import Settlement
+from azurefold.core.attempts.request_state import AttemptStatus
 from azurefold.core.clock import Clock, Millis
 from azurefold.entry.agent_channels import AgentChannels
 from azurefold.entry.agent_connections import (
@@ -100,7 +100,7 @@
 
     def settle(
         self, agent: AgentAddress, attempt_id: str, organisation: str
-    ) -> Settlement:
+    ) -> AttemptStatus:
         """Ask, over a new connection, what became of an attempt.
 
         Raises
@@ -118,7 +118,7 @@
             if response.status_code != _OK:
                 raise LostError(f"status {response.status_code}")
             body = msgspec.json.decode(bytes(response.read()), type=SettledBody)
-            return Settlement(body.state)
+            return AttemptStatus(body.state)
         except (*CONNECTION_ERRORS, msgspec.MsgspecError) as error:
             raise LostError(str(error)) from error
         finally:
--- a/src/azurefold/entry/answer_reader.py
+++ b/src/azurefold/entry/answer_reader.py
@@ -4,23 +4,23 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from azurefold.core.attempts.course import (
+from azurefold.core.attempts.frames import (
+    AnswerAssembler,
+    AnswerComplete,
+    AnswerCorrupted,
+    FrameDropped,
+    NewText,
+    TextMissing,
+)
+from azurefold.core.attempts.ids import AnswerId
+from azurefold.core.attempts.outcome import RunStatus
+from azurefold.core.attempts.request_state import (
     ConnectionLost,
-    Course,
     DeadlinePassed,
     EndpointFailed,
     Event,
+    RequestState,
 )
-from azurefold.core.attempts.frames import (
-    Assembler,
-    Dropped,
-    Finished,
-    Gap,
-    Passed,
-    Spoiled,
-)
-from azurefold.core.attempts.ids import AnswerId
-from azurefold.core.attempts.outcome import Ran
 from azurefold.core.clock import Clock
 from azurefold.core.routing.messages import Answered, LoadReport
 from azurefold.entry.agent_messages import AgentAddress, Opened
@@ -48,7 +48,7 @@
     ----------
     placement : Placement
         Told of a whole answer; its pool is told of load and first text.
-    course : Course
+    course : RequestState
         Told of signs of life and of how much text was passed on.
     clock : Clock
         Monotonic.
@@ -57,13 +57,13 @@
     """
 
     placement: Placement
-    course: Course
+    course: RequestState
     clock: Clock
     observer: Observer
     _first_text: bool = False
 
     def read(
-        self, opened: Opened, agent: AgentAddress, assembler: Assembler
+        self, opened: Opened, agent: AgentAddress, assembler: AnswerAssembler
     ) -> Iterator[Part]:
         """Yield parts; return the event that ended them, None when whole.
 
@@ -84,7 +84,7 @@
             # endpoint does: for ever, where a group's steps stand still.
             if self.clock.now() >= request.deadline:
                 return DeadlinePassed()
-            self.course.heard()
+            self.course.record_progress()
             for line in lines:
                 event = yield from self._line(agent, assembler, line)
                 if event is not None:
@@ -92,33 +92,37 @@
         return ConnectionLost()
 
     def _line(
-        self, agent: AgentAddress, assembler: Assembler, line: Line
+        self, agent: AgentAddress, assembler: AnswerAssembler, line: Line
     ) -> Iterator[Part]:
         if isinstance(line, Head):
             yield AnswerHead(line.status, line.content_type)
             return None
         if isinstance(line, Broken):
-            ran = Ran.NOT_RUN if line.reason == Ran.NOT_RUN else Ran.UNKNOWN
+            ran = (
+                RunStatus.NOT_RUN
+                if line.reason == RunStatus.NOT_RUN
+                else RunStatus.UNKNOWN
+            )
             return EndpointFailed(ran)
         match assembler.accept(line):
-            case Passed(text=text):
+            case NewText(text=text):
                 self._note_text(agent, assembler)
                 yield Text(text, assembler.next_offset)
-            case Dropped(reason=reason):
+            case FrameDropped(reason=reason):
                 self.observer.dropped(reason)
-            case Gap():
+            case TextMissing():
                 raise LostMidwayError("a part of the answer is missing")
-            case Spoiled(detail=detail):
+            case AnswerCorrupted(detail=detail):
                 log_event(_log, "spoiled", attempt=assembler.attempt_id, why=detail)
-                return EndpointFailed(Ran.UNKNOWN)
-            case Finished(total=total):
+                return EndpointFailed(RunStatus.UNKNOWN)
+            case AnswerComplete(total=total):
                 self.placement.report(Answered(self.placement.request.tokens))
                 yield Whole(total)
                 return total
         return None
 
-    def _note_text(self, agent: AgentAddress, assembler: Assembler) -> None:
-        self.course.passed = assembler.next_offset
+    def _note_text(self, agent: AgentAddress, assembler: AnswerAssembler) -> None:
+        self.course.forwarded = assembler.next_offset
         if not self._first_text:
             self._first_text = True
             self.placement.admission.pool.record_first_token(
@@ -126,7 +130,7 @@
             )
 
 
-def _answer_id(agent: AgentAddress, assembler: Assembler) -> AnswerId:
+def _answer_id(agent: AgentAddress, assembler: AnswerAssembler) -> AnswerId:
     return AnswerId(
         agent.endpoint, agent.incarnation, assembler.attempt_id, assembler.next_offset
     )
--- a/src/azurefold/entry/caller_headers.py
+++ b/src/azurefold/entry/caller_headers.py
@@ -6,7 +6,7 @@
 import falcon
 
 from azurefold.core.admission.messages import Priority
-from azurefold.core.attempts.ids import AnswerId, BadAnswerIdError, parse_answer_id
+from azurefold.core.attempts.ids import AnswerId, InvalidAnswerIdError, parse_answer_id
 from azurefold.core.clock import Millis
 from azurefold.entry.requests import BadRequestError
 
@@ -79,5 +79,5 @@
         return None
     try:
         return parse_answer_id(text)
-    except BadAnswerIdError as error:
+    except InvalidAnswerIdError as error:
         raise BadRequestError(400, "bad_last_event_id", str(error)) from error
--- a/src/azurefold/entry/channels.py
+++ b/src/azurefold/entry/channels.py
@@ -5,7 +5,7 @@
 
 from gevent.event import Event
 
-from azurefold.core.attempts.frames import End
+from azurefold.core.attempts.frames import EndFrame
 from azurefold.core.clock import Clock, Millis
 from azurefold.entry.lines import Line, LostError
 from azurefold.wire.frames import BadLineError, Broken, decode_line, split_number
@@ -51,7 +51,7 @@
         except BadLineError:
             self.lose()
             return
-        if isinstance(message, End | Broken):
+        if isinstance(message, EndFrame | Broken):
             self._ended = True
         self._items.append(message)
         self._some.set()
--- a/src/azurefold/entry/claims.py
+++ b/src/azurefold/entry/claims.py
@@ -10,12 +10,12 @@
 
 from azurefold.core.attempts.claims import (
     Claim,
-    Follow,
+    ClaimAcquired,
+    FollowAttempt,
     KeyReused,
-    Mine,
     decide_claim,
 )
-from azurefold.core.attempts.outcome import Failure, Ran
+from azurefold.core.attempts.outcome import Failure, RunStatus
 from azurefold.core.clock import Millis
 from azurefold.internal.logs import log_event
 from azurefold.internal.loops import spawn_loop
@@ -42,7 +42,7 @@
 _SECOND_MS = 1_000
 _RETRY_AFTER_MS: Millis = 2_000
 _WRITERS = 4
-_RESULTS = {Mine: "taken", Follow: "followed", KeyReused: "reused"}
+_RESULTS = {ClaimAcquired: "taken", FollowAttempt: "followed", KeyReused: "reused"}
 _KEY_UNCHECKED = (
     "This call was not run. Whether an earlier one with the same "
     "Idempotency-Key was run cannot be looked up now; come back later."
@@ -194,7 +194,7 @@
 
     def take(
         self, attempt_id: str, endpoint: str, incarnation: str
-    ) -> Mine | Follow | Failure:
+    ) -> ClaimAcquired | FollowAttempt | Failure:
         """Claim the key for an attempt that is about to be dispatched.
 
         Called again for a further attempt, it replaces the row seen last. That
@@ -213,7 +213,7 @@
             return _reused()
         return decision
 
-    def check_refusal(self, failure: Failure) -> Follow | Failure:
+    def check_refusal(self, failure: Failure) -> FollowAttempt | Failure:
         """Return what to tell a caller whose request was refused unclaimed.
 
         This call was not run, but an earlier one with the same key may have
@@ -226,9 +226,9 @@
         if isinstance(found, Unavailable):
             return replace(
                 failure,
-                ran=Ran.UNKNOWN,
+                ran=RunStatus.UNKNOWN,
                 detail=_KEY_UNCHECKED,
-                this_call=Ran.NOT_RUN,
+                this_call=RunStatus.NOT_RUN,
             )
         row = found.rows.get(self.key)
         if row is None:
@@ -237,7 +237,7 @@
         if claim.request != self.request:
             return _reused()
         self._version = row.version
-        return Follow(claim)
+        return FollowAttempt(claim)
 
 
 def _transaction(batch: list[_Wish]) -> Transaction:
@@ -261,7 +261,7 @@
 
 def _unavailable(reason: str) -> Failure:
     return Failure(
-        Ran.NOT_RUN,
+        RunStatus.NOT_RUN,
         "claim_unavailable",
         f"The key could not be claimed, so the request was not run ({reason}).",
         _RETRY_AFTER_MS,
@@ -270,7 +270,7 @@
 
 def _reused() -> Failure:
     return Failure(
-        Ran.NOT_RUN,
+        RunStatus.NOT_RUN,
         "key_reused",
         "This Idempotency-Key belongs to another request; use a new key.",
     )
--- a/src/azurefold/entry/http_api.py
+++ b/src/azurefold/entry/http_api.py
@@ -15,7 +15,7 @@
 import falcon
 
 from azurefold.core.attempts.claims import claim_key, request_digest
-from azurefold.core.attempts.outcome import Failure, Ran
+from azurefold.core.attempts.outcome import Failure, RunStatus
 from azurefold.core.routing.prompt import prompt_prefixes
 from azurefold.entry.answers import server_sent_events
 from azurefold.entry.bodies import read_body
@@ -111,7 +111,7 @@
         req: falcon.Request, resp: falcon.Response, error: BadRequestError, params: dict
     ) -> None:
         state.metrics.bad_requests.labels(reason=error.reason).inc()
-        failure = Failure(Ran.NOT_RUN, error.reason, error.detail)
+        failure = Failure(RunStatus.NOT_RUN, error.reason, error.detail)
         give_failure(resp, failure, error.status)
 
     app.add_error_handler(BadRequestError, on_bad_request)
@@ -233,5 +233,8 @@
 
 def _draining() -> Failure:
     return Failure(
-        Ran.NOT_RUN, "draining", "This entry is stopping; send it to another.", 1_000
+        RunStatus.NOT_RUN,
+        "draining",
+        "This entry is stopping; send it to another.",
+        1_000,
     )
--- a/src/azurefold/entry/lines.py
+++ b/src/azurefold/entry/lines.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterator
 
-from azurefold.core.attempts.frames import End, Frame
+from azurefold.core.attempts.frames import EndFrame, Frame
 from azurefold.internal.http_client import CONNECTION_ERRORS, lines_at_once
 from azurefold.wire.frames import BadLineError, Broken, Head, decode_line
 
@@ -10,7 +10,7 @@
 
 _BLANK_LINE = b"\n"
 
-Line = Frame | End | Broken | Head
+Line = Frame | EndFrame | Broken | Head
 
 
 class LostError(Exception):
--- a/src/azurefold/entry/organisations.py
+++ b/src/azurefold/entry/organisations.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 
 from azurefold.core.admission.limits import Limited, OrganisationLimits
-from azurefold.core.attempts.outcome import Failure, Ran
+from azurefold.core.attempts.outcome import Failure, RunStatus
 from azurefold.core.clock import Clock
 from azurefold.core.configuration.model import Organisation
 from azurefold.entry.requests import BadRequestError
@@ -89,18 +89,20 @@
             ("requests", self.requests, 1),
             ("tokens", self.tokens, tokens),
         ):
-            answer = limits.request(organisation, amount, draw, now)
+            answer = limits.try_acquire(organisation, amount, draw, now)
             if isinstance(answer, Limited):
                 self.limited[kind] += 1
                 detail = f"Your organisation asks for more {kind} than its limit."
-                return Failure(Ran.NOT_RUN, LIMITED, detail, answer.retry_after_ms)
+                return Failure(
+                    RunStatus.NOT_RUN, LIMITED, detail, answer.retry_after_ms
+                )
         return None
 
     def tick(self) -> None:
         """Count this node's own demand; call it about once a second."""
         now = self.clock.now()
-        self.requests.report(now)
-        self.tokens.report(now)
+        self.requests.build_report(now)
+        self.tokens.build_report(now)
 
 
 def _rates(organisations: dict[str, Organisation], field_name: str) -> dict[str, float]:
--- a/src/azurefold/entry/placement.py
+++ b/src/azurefold/entry/placement.py
@@ -3,10 +3,15 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
 
-from azurefold.core.attempts.claims import Follow, Mine
-from azurefold.core.attempts.course import Event, NotDispatched, SettledAs, Settlement
-from azurefold.core.attempts.ledger import Refusal
-from azurefold.core.attempts.outcome import Failure, Ran
+from azurefold.core.attempts.claims import ClaimAcquired, FollowAttempt
+from azurefold.core.attempts.ledger import AttemptRefusalReason
+from azurefold.core.attempts.outcome import Failure, RunStatus
+from azurefold.core.attempts.request_state import (
+    AttemptStatus,
+    Event,
+    NotDispatched,
+    StatusReported,
+)
 from azurefold.core.clock import Clock
 from azurefold.core.routing.messages import Chosen, Outcome, RouteRequest
 from azurefold.entry.admission import Admission, Ticket
@@ -68,15 +73,15 @@
 
     def take_claim(
         self, agent: AgentAddress, attempt_id: str
-    ) -> Mine | Follow | Failure:
+    ) -> ClaimAcquired | FollowAttempt | Failure:
         """Claim the caller's key, if there is one, for an attempt."""
         if self.claim is None:
-            return Mine()
+            return ClaimAcquired()
         return self.claim.take(attempt_id, agent.endpoint, agent.incarnation)
 
-    def check_refusal(self, failure: Failure) -> Follow | Failure:
+    def check_refusal(self, failure: Failure) -> FollowAttempt | Failure:
         """Make a refusal true for the caller's key, not only for this call."""
-        if self.claim is None or failure.ran is not Ran.NOT_RUN:
+        if self.claim is None or failure.ran is not RunStatus.NOT_RUN:
             return failure
         return self.claim.check_refusal(failure)
 
@@ -85,7 +90,7 @@
         # The agent knows first that its endpoint leaves. An entry that no
         # control process tells would else send it every other request and
         # spend its retry budget on the refusals.
-        if reason == Refusal.LEAVING:
+        if reason == AttemptRefusalReason.LEAVING:
             self.admission.pool.mark_leaving(endpoint, self.clock.now())
 
     def report(self, outcome: Outcome) -> None:
@@ -140,9 +145,12 @@
 
 def _cost_nothing(event: Event) -> bool:
     match event:
-        case SettledAs(state=Settlement.NOT_RUN):
+        case StatusReported(state=AttemptStatus.NOT_RUN):
             return True
         case NotDispatched(reason=reason):
-            return reason in (Refusal.LEAVING, Refusal.WRONG_INCARNATION)
+            return reason in (
+                AttemptRefusalReason.LEAVING,
+                AttemptRefusalReason.WRONG_INCARNATION,
+            )
         case _:
             return False
--- a/src/azurefold/entry/relay.py
+++ b/src/azurefold/entry/relay.py
@@ -7,26 +7,25 @@
 
 import gevent
 
-from azurefold.core.attempts.claims import Claim, Follow, Mine
-from azurefold.core.attempts.course import (
-    AgentSilent,
-    AskAgent,
+from azurefold.core.attempts.claims import Claim, ClaimAcquired, FollowAttempt
+from azurefold.core.attempts.frames import AnswerAssembler
+from azurefold.core.attempts.ids import AnswerId, new_attempt_id
+from azurefold.core.attempts.outcome import Failure
+from azurefold.core.attempts.request_state import (
+    AgentUnresponsive,
+    AnswerTextExpired,
+    AttemptStatus,
     ConnectionLost,
-    Course,
     DeadlinePassed,
     DispatchAgain,
     Event,
     Fail,
     NotDispatched,
-    NoTextLeft,
+    QueryAttemptStatus,
+    RequestState,
     ResumeAt,
-    SettledAs,
-    Settlement,
+    StatusReported,
 )
-from azurefold.core.attempts.frames import Assembler
-from azurefold.core.attempts.ids import AnswerId
-from azurefold.core.attempts.ids import attempt_id as new_attempt_id
-from azurefold.core.attempts.outcome import Failure
 from azurefold.core.clock import Clock, Millis
 from azurefold.core.routing.messages import Cancelled, Failed, Refused
 from azurefold.entry.admission import Admission
@@ -47,7 +46,9 @@
 
 # States of an attempt whose text the agent had, and no longer has where it gives
 # none: nothing is gained by asking for it again.
-_KNOWN_THERE = frozenset({Settlement.RUNNING, Settlement.DONE, Settlement.FAILED})
+_KNOWN_THERE = frozenset(
+    {AttemptStatus.RUNNING, AttemptStatus.DONE, AttemptStatus.FAILED}
+)
 _FOLLOW_TRIES = 5
 _FOLLOW_PAUSE_MS: Millis = 60
 _RESUME_PAUSE_MS: Millis = 100
@@ -98,15 +99,15 @@
     claim: ClaimTaker | None = None
     admit: Callable[[], Failure | None] = _admit_all
     pause: Callable[[Millis], None] = _sleep
-    _course: Course = field(init=False)
+    _course: RequestState = field(init=False)
     _placement: Placement = field(init=False)
     _reader: AnswerReader = field(init=False)
     _agent: AgentAddress | None = None
-    _assembler: Assembler | None = None
+    _assembler: AnswerAssembler | None = None
     _resumed_at: int = -1
 
     def __post_init__(self) -> None:
-        self._course = Course(self.request.idempotent)
+        self._course = RequestState(self.request.idempotent)
         self._placement = Placement(
             self.request, self.admission, self.clock, self.claim, self.admit
         )
@@ -132,8 +133,8 @@
         located = self.locate(answer.endpoint)
         address = located.address if located else ""
         self._agent = AgentAddress(answer.endpoint, answer.incarnation, address)
-        self._assembler = Assembler(answer.attempt_id, answer.offset, whole)
-        self._course.passed = answer.offset
+        self._assembler = AnswerAssembler(answer.attempt_id, answer.offset, whole)
+        self._course.forwarded = answer.offset
         yield from self._follow(ResumeAt(answer.offset))
 
     def _follow(self, step: object) -> Iterator[Part]:
@@ -143,18 +144,20 @@
                     opened = self._dispatch()
                 case ResumeAt(offset=offset):
                     opened = self._resume(offset)
-                case AskAgent():
+                case QueryAttemptStatus():
                     opened = self._ask()
                 case Fail(failure=failure):
                     self._placement.report(Failed())
                     yield GivenUp(failure)
                     return
             if isinstance(opened, Failure):
-                opened = self._placement.check_refusal(self._course.refused(opened))
+                opened = self._placement.check_refusal(
+                    self._course.correct_refusal(opened)
+                )
             if isinstance(opened, Failure):
                 yield GivenUp(opened)
                 return
-            if isinstance(opened, Follow):
+            if isinstance(opened, FollowAttempt):
                 opened = self._attach_to(opened.claim)
             if isinstance(opened, Opened):
                 event = yield from self._read(opened)
@@ -164,22 +167,24 @@
                 event = opened
             if _certainly_not_run(event):
                 self._placement.report(Refused())
-            step = self._course.next(event, lambda event=event: self._may_retry(event))
+            step = self._course.handle_event(
+                event, lambda event=event: self._may_retry(event)
+            )
 
-    def _dispatch(self) -> Opened | Follow | Failure | Event:
+    def _dispatch(self) -> Opened | FollowAttempt | Failure | Event:
         self._placement.report(Failed())
         attempt_id = new_attempt_id(self.wall.now(), secrets.token_hex(10))
         chosen = self._placement.acquire(attempt_id)
         if isinstance(chosen, Failure):
             return chosen
-        self._assembler = Assembler(attempt_id)
+        self._assembler = AnswerAssembler(attempt_id)
         self._agent = self.locate(chosen.endpoint)
         if self._agent is None:
             self._placement.unknown(chosen.endpoint)
             self._agent = AgentAddress(chosen.endpoint, "", "")
             return NotDispatched("endpoint_unknown")
         claimed = self._placement.take_claim(self._agent, attempt_id)
-        if not isinstance(claimed, Mine):
+        if not isinstance(claimed, ClaimAcquired):
             self._placement.report(Cancelled())
             return claimed
         return self._send(self._agent, attempt_id)
@@ -189,7 +194,7 @@
         located = self.locate(claim.endpoint)
         address = located.address if located else ""
         self._agent = AgentAddress(claim.endpoint, claim.incarnation, address)
-        self._assembler = Assembler(claim.attempt_id)
+        self._assembler = AnswerAssembler(claim.attempt_id)
         log_event(_log, "follow", attempt=claim.attempt_id, endpoint=claim.endpoint)
         # Its entry may have claimed the key and not dispatched yet. Asking at
         # once would settle the attempt as not run and undo that entry's work.
@@ -239,7 +244,7 @@
 
     def _try_resume(self, offset: int) -> Opened | NotTaken | Event:
         if not self._agent.address:
-            return AgentSilent()
+            return AgentUnresponsive()
         try:
             return self.agents.resume(
                 self._agent, self.attempt_id, self.request.organisation, offset
@@ -251,22 +256,22 @@
         # The agent does not have it. If it is still in the incarnation that
         # was given the attempt, asking settles it for good as not run.
         asked = self._ask()
-        if isinstance(asked, SettledAs) and asked.state in _KNOWN_THERE:
-            return NoTextLeft()
+        if isinstance(asked, StatusReported) and asked.state in _KNOWN_THERE:
+            return AnswerTextExpired()
         return asked
 
     def _ask(self) -> Event:
         if not self._agent.address:
-            return AgentSilent()
+            return AgentUnresponsive()
         try:
             state = self.agents.settle(
                 self._agent, self.attempt_id, self.request.organisation
             )
         except LostError:
-            return AgentSilent()
+            return AgentUnresponsive()
         self.observer.settled(self.request.service, state)
         log_event(_log, "settled", attempt=self.attempt_id, state=state)
-        return SettledAs(state)
+        return StatusReported(state)
 
     def _read(self, opened: Opened) -> Iterator[Part]:
         """Yield parts; return the event that ended them, None when whole."""
@@ -280,7 +285,7 @@
         return event
 
     def _may_retry(self, event: Event) -> bool:
-        return self._placement.may_retry(event, self._course.passed)
+        return self._placement.may_retry(event, self._course.forwarded)
 
     def _note_loss(self, attempt_id: str, error: Exception) -> None:
         self.observer.lost(self.request.service)
@@ -289,7 +294,7 @@
 
 def _certainly_not_run(event: Event) -> bool:
     match event:
-        case NotDispatched() | SettledAs(state=Settlement.NOT_RUN):
+        case NotDispatched() | StatusReported(state=AttemptStatus.NOT_RUN):
             return True
         case _:
             return False
--- a/src/azurefold/entry/responses.py
+++ b/src/azurefold/entry/responses.py
@@ -4,7 +4,7 @@
 
 import falcon
 
-from azurefold.core.attempts.outcome import Failure, Ran
+from azurefold.core.attempts.outcome import Failure, RunStatus
 from azurefold.entry.answers import collect, completion_json, error_json
 from azurefold.entry.organisations import LIMITED
 from azurefold.entry.parts import Part
@@ -50,4 +50,4 @@
         return 422
     if failure.reason == LIMITED:
         return 429
-    return 503 if failure.ran is Ran.NOT_RUN else 502
+    return 503 if failure.ran is RunStatus.NOT_RUN else 502
--- a/src/azurefold/entry/watcher.py
+++ b/src/azurefold/entry/watcher.py
@@ -141,7 +141,7 @@
         for service in checked.services.values():
             admission = self.services.find(service.name).admission
             admission.pool.set_slots(service.limits.concurrency)
-            admission.queue.set_shares(self.organisations.shares)
+            admission.queue.set_weights(self.organisations.shares)
         log_event(_log, "revision_applied", revision=revision)
 
 
--- a/src/azurefold/gateway/callers/app.py
+++ b/src/azurefold/gateway/callers/app.py
@@ -12,7 +12,7 @@
 import gevent
 import msgspec
 
-from azurefold.core.attempts.outcome import Failure, Ran
+from azurefold.core.attempts.outcome import Failure, RunStatus
 from azurefold.core.clock import Millis
 from azurefold.core.routes.model import KeyHolder, Route, RoutingConfiguration
 from azurefold.core.routes.table import choose_service
@@ -172,7 +172,7 @@
             configuration_age_ms=state.configuration_age_ms,
         )
         headers = _own_headers(head.attempt_id, refusal.retry_after_ms)
-        body = _error_body(refusal.reason, Ran.NOT_RUN)
+        body = _error_body(refusal.reason, RunStatus.NOT_RUN)
         return self.respond(refusal.status, headers, body, start)
 
     def respond(
@@ -246,13 +246,15 @@
     def _relay_parts(self) -> Iterator[Part]:
         service = self._app.state.services.get(self._call.service)
         if service is None:
-            failure = Failure(Ran.NOT_RUN, "unknown_service", "", _STALE_RETRY_MS)
+            failure = Failure(RunStatus.NOT_RUN, "unknown_service", "", _STALE_RETRY_MS)
             yield GivenUp(failure, 503)
             return
         yield from Relay(self._call, self._app.state, service).run()
 
     def _give_up(self, failure: Failure, status: int) -> list[bytes]:
-        retry_after = failure.retry_after_ms if failure.ran is Ran.NOT_RUN else None
+        retry_after = (
+            failure.retry_after_ms if failure.ran is RunStatus.NOT_RUN else None
+        )
         headers = _own_headers(self._call.id, retry_after)
         body = _error_body(failure.reason, failure.ran)
         return self._app.respond(status, headers, body, self._start)
@@ -269,7 +271,7 @@
     return headers
 
 
-def _error_body(reason: str, ran: Ran) -> bytes:
+def _error_body(reason: str, ran: RunStatus) -> bytes:
     return msgspec.json.encode({"error": {"ran": str(ran), "reason": reason}})
 
 
--- a/src/azurefold/gateway/callers/relay.py
+++ b/src/azurefold/gateway/callers/relay.py
@@ -9,15 +9,15 @@
 
 from azurefold.core.admission.messages import Priority
 from azurefold.core.admission.outage import (
-    AwaitReturn,
     OutageRequest,
-    TurnAway,
-    in_outage,
-    latest_return,
+    RefuseRequest,
+    WaitForGroup,
+    decide_during_outage,
+    max_retry_after,
 )
-from azurefold.core.attempts.course import Course, DispatchAgain, Fail
 from azurefold.core.attempts.crashes import CRASHES_ENDPOINTS
-from azurefold.core.attempts.outcome import Failure, Ran
+from azurefold.core.attempts.outcome import Failure, RunStatus
+from azurefold.core.attempts.request_state import DispatchAgain, Fail, RequestState
 from azurefold.core.clock import Millis
 from azurefold.core.routes.model import AnswerKind
 from azurefold.core.routing.messages import Chosen, RouteRequest, Unavailable
@@ -84,15 +84,15 @@
     service: GatewayService
     attempts: int = 0
     tried: set[str] = field(default_factory=set)
-    _course: Course = field(init=False)
+    _course: RequestState = field(init=False)
     _progress: Progress = field(default_factory=Progress)
     _queued_ms: Millis = 0
 
     def __post_init__(self) -> None:
         route = self.call.route
-        self._course = Course(
-            idempotent=route.is_safe_to_rerun,
-            resumable=route.kind is AnswerKind.STREAMING and route.is_resumable,
+        self._course = RequestState(
+            is_idempotent=route.is_safe_to_rerun,
+            is_resumable=route.kind is AnswerKind.STREAMING and route.is_resumable,
         )
 
     def run(self) -> Iterator[Part]:
@@ -122,7 +122,7 @@
     def _run(self) -> Iterator[Part]:
         if self._is_quarantined():
             yield self._give_up(
-                Failure(Ran.NOT_RUN, CRASHES_ENDPOINTS, _DETAIL_CRASHES)
+                Failure(RunStatus.NOT_RUN, CRASHES_ENDPOINTS, _DETAIL_CRASHES)
             )
             return
         placed = self._place()
@@ -134,13 +134,13 @@
             event = yield from self._attempt(placed.endpoint)
             if event is None:
                 return
-            self._course.passed = self._progress.passed
-            step = self._course.next(event, self._may_retry)
+            self._course.forwarded = self._progress.passed
+            step = self._course.handle_event(event, self._may_retry)
             match step:
                 case DispatchAgain():
                     placed = self._place_again()
                     if isinstance(placed, Failure):
-                        yield self._give_up(self._course.refused(placed))
+                        yield self._give_up(self._course.correct_refusal(placed))
                         return
                 case Fail(failure=failure):
                     yield self._give_up(failure)
@@ -160,9 +160,9 @@
         if not _is_outage(placed):
             return placed
         match self._in_outage():
-            case AwaitReturn(at_most=at_most):
-                return admission.acquire(self._ticket(awaits_group_ms=at_most))
-            case TurnAway(retry_after=retry_after):
+            case WaitForGroup(max_wait=max_wait):
+                return admission.acquire(self._ticket(awaits_group_ms=max_wait))
+            case RefuseRequest(retry_after=retry_after):
                 return replace(placed, retry_after_ms=retry_after)
 
     def _place_again(self) -> Chosen | Failure:
@@ -172,14 +172,14 @@
         if self._progress.begun or not _is_outage(placed):
             return placed
         match self._in_outage():
-            case AwaitReturn(at_most=at_most):
-                return admission.acquire(self._ticket(awaits_group_ms=at_most))
+            case WaitForGroup(max_wait=max_wait):
+                return admission.acquire(self._ticket(awaits_group_ms=max_wait))
         return placed
 
-    def _in_outage(self) -> AwaitReturn | TurnAway:
+    def _in_outage(self) -> WaitForGroup | RefuseRequest:
         now = self.state.clock.now()
         request = OutageRequest(self.call.deadline - now, self.call.route.timeout_ms)
-        return in_outage(request, self.service.forms_in(now))
+        return decide_during_outage(request, self.service.forms_in(now))
 
     def _is_quarantined(self) -> bool:
         """Whether the request is quarantined; if so, log that it is refused."""
@@ -220,7 +220,7 @@
                 may_queue=self._progress.dispatched,
             ),
             awaits_group=awaits_group_ms > 0,
-            on_time_by=self._on_time_by(),
+            latest_on_time_start=self._on_time_by(),
         )
 
     def _on_time_by(self) -> Millis:
@@ -264,7 +264,7 @@
             return _RetryDenial.CRASHES_ENDPOINTS
         # All ranks of a group stop together: another one would refuse as well.
         is_unavailable = self.service.admission.pool.is_unavailable
-        if is_unavailable and isinstance(self._in_outage(), TurnAway):
+        if is_unavailable and isinstance(self._in_outage(), RefuseRequest):
             return _RetryDenial.ALL_GROUPS_DOWN
         refusals = min(self._progress.free_refusals, _MOST_FREE_REFUSALS)
         if self.attempts >= self.call.route.max_attempts + refusals:
@@ -308,8 +308,8 @@
             failure = replace(failure, retry_after_ms=None)
         elif self.service.admission.pool.is_unavailable or self.state.is_cut_off:
             left = self.call.deadline - self.state.clock.now()
-            failure = replace(failure, retry_after_ms=latest_return(left))
-        not_run = failure.ran is Ran.NOT_RUN
+            failure = replace(failure, retry_after_ms=max_retry_after(left))
+        not_run = failure.ran is RunStatus.NOT_RUN
         return GivenUp(failure, _UNAVAILABLE if not_run else _BAD_GATEWAY)
 
     def _too_late(self) -> Part:
@@ -318,9 +318,9 @@
             raise AnswerCutOffError("deadline")
         self._progress.result = "deadline"
         if self._progress.dispatched:
-            failure = Failure(Ran.UNKNOWN, "deadline", _DETAIL_DEADLINE)
+            failure = Failure(RunStatus.UNKNOWN, "deadline", _DETAIL_DEADLINE)
             return GivenUp(failure, _GATEWAY_TIMEOUT)
-        failure = Failure(Ran.NOT_RUN, "deadline", _DETAIL_DEADLINE, 0)
+        failure = Failure(RunStatus.NOT_RUN, "deadline", _DETAIL_DEADLINE, 0)
         return GivenUp(failure, _UNAVAILABLE)
 
     def _log_end(self) -> None:
@@ -342,9 +342,9 @@
             took_ms=now - call.arrived,
             left_ms=call.deadline - now,
             queued_ms=self._queued_ms,
-            first_ms=self._progress.pace.first_after(call.arrived),
+            first_ms=self._progress.pace.time_to_first_event(call.arrived),
             longest_gap_ms=self._progress.pace.longest_gap,
-            events=self._progress.splitter.passed,
+            events=self._progress.splitter.event_count,
         )
 
 
--- a/src/azurefold/gateway/endpoints/attempt.py
+++ b/src/azurefold/gateway/endpoints/attempt.py
@@ -4,10 +4,10 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from azurefold.core.attempts.course import EndpointFailed, Event, NotDispatched
 from azurefold.core.attempts.crashes import CRASHES_ENDPOINTS
-from azurefold.core.attempts.events import EventPace, EventSplitter
-from azurefold.core.attempts.outcome import Ran
+from azurefold.core.attempts.events import EventSplitter, EventTiming
+from azurefold.core.attempts.outcome import RunStatus
+from azurefold.core.attempts.request_state import EndpointFailed, Event, NotDispatched
 from azurefold.core.clock import Millis
 from azurefold.core.membership.registry import EndpointEntry
 from azurefold.core.routes.model import AnswerKind
@@ -53,7 +53,7 @@
     ----------
     splitter : EventSplitter
         Of the stream that is the answer.
-    pace : EventPace
+    pace : EventTiming
     passed : int
         Whole events that the caller has.
     begun : bool
@@ -70,7 +70,7 @@
     """
 
     splitter: EventSplitter = field(default_factory=EventSplitter)
-    pace: EventPace = field(default_factory=EventPace)
+    pace: EventTiming = field(default_factory=EventTiming)
     passed: int = 0
     begun: bool = False
     dispatched: bool = False
@@ -189,7 +189,7 @@
 
     def _stream(self, reply: Reply) -> Iterator[Part]:
         splitter = self.progress.splitter
-        splitter.drop_rest()
+        splitter.discard_partial_event()
         pool = self.service.admission.pool
         while data := reply.next_bytes():
             events = splitter.feed(data)
@@ -203,11 +203,11 @@
             if not self.progress.begun:
                 self.progress.begun = True
                 yield Begun(reply.head.status, reply.head.forwarded, None)
-            self.progress.passed = splitter.passed
+            self.progress.passed = splitter.event_count
             yield Piece(events)
-        if splitter.has_rest:
+        if splitter.has_partial_event:
             raise BrokenReplyError("half_an_event", begun=True)
-        self._done(reply, Answered(splitter.passed))
+        self._done(reply, Answered(splitter.event_count))
         self.progress.result = f"answered_{reply.head.status}"
         if not self.progress.begun:
             yield Begun(reply.head.status, reply.head.forwarded, b"")
@@ -218,7 +218,7 @@
         self._done(reply, Failed())
         self.progress.own_answer = Begun(reply.head.status, reply.head.forwarded, body)
         self._log_failure("endpoint_error", str(reply.head.status))
-        return EndpointFailed(Ran.RAN)
+        return EndpointFailed(RunStatus.RAN)
 
     def _refused(self, reply: Reply) -> Event:
         head = reply.head
@@ -259,7 +259,7 @@
         self._outcome = Failed()
         self._log_failure(event, detail)
         if sent:
-            return EndpointFailed(Ran.UNKNOWN)
+            return EndpointFailed(RunStatus.UNKNOWN)
         return NotDispatched(event)
 
     def _log_failure(self, event: str, detail: str) -> None:
@@ -273,12 +273,12 @@
             endpoint=self.endpoint,
             why=event,
             detail=detail,
-            passed=self.progress.splitter.passed,
+            passed=self.progress.splitter.event_count,
             new_connection=self._link.is_new if self._link else "none",
         )
 
     def _observe_events(self, now: Millis) -> None:
-        gap = self.progress.pace.passed(now)
+        gap = self.progress.pace.record_events(now)
         timings = self.state.timings
         service = self.call.service
         if gap is None:
--- a/src/azurefold/gateway/groups/control.py
+++ b/src/azurefold/gateway/groups/control.py
@@ -207,14 +207,14 @@
         why = self._why_sooner(now)
         every = sampling.every if why is SampleCause.REGULAR else _SETTLING_MS
         if now - watch.sampled_at >= every:
-            watch.service.pass_lengths.settle(now)
+            watch.service.event_gap_monitor.reset_baseline(now)
             watch.sample(sampling.ranks, why)
 
     def _why_sooner(self, now: Millis) -> SampleCause:
         """Return what calls for a sample before the regular one, if anything does."""
         if self.watch.popularity.is_unsettled:
             return SampleCause.UNSETTLED
-        if self.watch.service.pass_lengths.have_grown(now):
+        if self.watch.service.event_gap_monitor.has_increased(now):
             return SampleCause.PASSES_GREW
         return SampleCause.REGULAR
 
--- a/src/azurefold/gateway/peers/exchange.py
+++ b/src/azurefold/gateway/peers/exchange.py
@@ -301,10 +301,10 @@
         if self.cell.count <= 1:
             return False
         crashes = self.state.crashes
-        if crashes.changed_locally_since(self._sent_crashes_at):
+        if crashes.has_changed_locally_since(self._sent_crashes_at):
             return True
         is_due = now - self._sent_crashes_at >= _QUIET_MS
-        return is_due and crashes.changed_locally_since(now - _CRASH_REPEAT_MS)
+        return is_due and crashes.has_changed_locally_since(now - _CRASH_REPEAT_MS)
 
     def _share_quotas(self) -> None:
         """Deal the quotas of endpoints to gateways that have requests for them."""
--- a/src/azurefold/gateway/service_state.py
+++ b/src/azurefold/gateway/service_state.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from azurefold.core.admission.queue import FairQueue, QueuePolicy
-from azurefold.core.attempts.events import PassLengths
+from azurefold.core.attempts.events import EventGapMonitor
 from azurefold.core.clock import Clock, Millis
 from azurefold.core.membership.registry import EndpointEntry
 from azurefold.core.routes.model import RoutedService
@@ -63,7 +63,7 @@
         Its endpoints by name.
     is_divided : bool
         Whether its endpoints are dealt out to cells of gateways.
-    pass_lengths : PassLengths
+    event_gap_monitor : EventGapMonitor
         Gaps of its streams through this gateway, as a sign that a map fits no longer.
     groups : RankGroups
         Of its endpoints, where they are ranks.
@@ -79,7 +79,7 @@
     admission: Admission
     entries: dict[str, EndpointEntry] = field(default_factory=dict)
     is_divided: bool = False
-    pass_lengths: PassLengths = field(default_factory=PassLengths)
+    event_gap_monitor: EventGapMonitor = field(default_factory=EventGapMonitor)
     groups: RankGroups = field(default_factory=RankGroups)
     promised_gap_ms: Millis = 0
     usual_first_ms: float = _USUAL_FIRST_MS
@@ -171,7 +171,7 @@
 
     def event_gap(self, endpoint: str, gap: Millis, now: Millis) -> None:
         """Take in the time between two events of a stream of an endpoint."""
-        self.pass_lengths.observe(gap, now)
+        self.event_gap_monitor.observe(gap, now)
         if self.is_group and self.promised_gap_ms:
             self._limit_passes(self.groups.group_of(endpoint), gap, now)
 
--- a/src/azurefold/wire/attempts.py
+++ b/src/azurefold/wire/attempts.py
@@ -27,7 +27,8 @@
     Parameters
     ----------
     reason : str
-        A :class:`~azurefold.core.attempts.ledger.Refusal` or ``"not_seen"``.
+        An :class:`~azurefold.core.attempts.ledger.AttemptRefusalReason` or
+        ``"not_seen"``.
     """
 
     reason: str
--- a/src/azurefold/wire/frames.py
+++ b/src/azurefold/wire/frames.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from azurefold.core.attempts.frames import End, Frame
+from azurefold.core.attempts.frames import EndFrame, Frame
 
 __all__ = [
     "HEADER_CHANNEL",
@@ -97,7 +97,7 @@
     return _encode(Broken(reason)) + b"\n"
 
 
-def decode_line(attempt_id: str, line: bytes) -> Frame | End | Broken | Head:
+def decode_line(attempt_id: str, line: bytes) -> Frame | EndFrame | Broken | Head:
     """Read a line of the attempt ``attempt_id``.
 
     Raises
@@ -113,7 +113,7 @@
         case _Text(offset=offset, text=text):
             return Frame(attempt_id, offset, text)
         case _End(total=total, digest=digest):
-            return End(attempt_id, total, digest)
+            return EndFrame(attempt_id, total, digest)
         case _:
             return message
 
--- a/tests/agent/test_attempts_come_to_an_end.py
+++ b/tests/agent/test_attempts_come_to_an_end.py
@@ -36,8 +36,8 @@
     buffer = runner.dispatch(call, "7", "union", 60_000).buffer
     gevent.sleep(0)
     assert buffer.ended
-    assert runner.ledger.running == 0
-    assert runner.ledger.phase_of("a" * 32, "union") is Phase.FAILED
+    assert runner.ledger.running_count == 0
+    assert runner.ledger.get_phase("a" * 32, "union") is Phase.FAILED
     assert b'"unknown"' in list(buffer.lines(0))[-1]
 
 
--- a/tests/core/admission/test_organisation_limits.py
+++ b/tests/core/admission/test_organisation_limits.py
@@ -32,12 +32,12 @@
     granted = 0
     for now in range(0, seconds * 1_000, 10):
         for node in random.choices(nodes, weights, k=3):
-            verdict = node.request("a", 90, random.random(), now)
+            verdict = node.try_acquire("a", 90, random.random(), now)
             granted += 90 * isinstance(verdict, Allowed)
         if now % exchange == 0:
-            for report in [node.report(now) for node in nodes]:
+            for report in [node.build_report(now) for node in nodes]:
                 for node in nodes:
-                    node.heard(report, now)
+                    node.receive_report(report, now)
     return granted / (LIMIT * seconds)
 
 
@@ -57,10 +57,10 @@
     nodes = [OrganisationLimits(name, {"a": 100.0}) for name in tokens]
     for node, asked in zip(nodes, tokens.values(), strict=True):
         node.set_nodes(frozenset(tokens))
-        node.request("a", asked, 0.5, 0)
-    for report in [node.report(0) for node in nodes]:
+        node.try_acquire("a", asked, 0.5, 0)
+    for report in [node.build_report(0) for node in nodes]:
         for node in nodes:
-            node.heard(report, 0)
+            node.receive_report(report, 0)
     shares = [node.share("a", 0) for node in nodes]
     assert sum(shares) == pytest.approx(1.0)
     assert shares[0] > shares[1] > shares[2] > 0.0
@@ -69,22 +69,22 @@
 def test_a_dead_node_gives_its_share_back():
     node = OrganisationLimits("x", {"a": 100.0})
     node.set_nodes(frozenset({"x", "y"}))
-    node.request("a", 50, 0.5, 0)
-    node.report(0)
-    node.heard(DemandReport("y", {"a": 1_000.0}), 0)
+    node.try_acquire("a", 50, 0.5, 0)
+    node.build_report(0)
+    node.receive_report(DemandReport("y", {"a": 1_000.0}), 0)
     assert node.share("a", 10_000) < 0.2
     assert node.share("a", 10_001) > 0.9
 
 
 def test_an_organisation_without_a_limit_is_allowed():
     node = OrganisationLimits("x", {})
-    assert node.request("a", 10**9, 0.5, 0) == Allowed()
+    assert node.try_acquire("a", 10**9, 0.5, 0) == Allowed()
 
 
 def test_a_large_request_is_paid_back_afterwards():
     node = OrganisationLimits("x", {"a": 100.0}, LimitPolicy(burst=1_000))
-    assert node.request("a", 1_000, 0.0, 0) == Allowed()
-    limited = node.request("a", 10, 0.0, 100)
+    assert node.try_acquire("a", 1_000, 0.0, 0) == Allowed()
+    limited = node.try_acquire("a", 10, 0.0, 100)
     assert isinstance(limited, Limited)
     assert limited.retry_after_ms >= 8_000
-    assert node.request("a", 10, 0.0, 9_100) == Allowed()
+    assert node.try_acquire("a", 10, 0.0, 9_100) == Allowed()
--- a/tests/core/admission/test_outages_are_decided_at_once.py
+++ b/tests/core/admission/test_outages_are_decided_at_once.py
@@ -4,11 +4,11 @@
 
 from azurefold.core.admission.messages import Priority, Queued, QueueItem
 from azurefold.core.admission.outage import (
-    AwaitReturn,
     OutageRequest,
-    TurnAway,
-    in_outage,
-    latest_return,
+    RefuseRequest,
+    WaitForGroup,
+    decide_during_outage,
+    max_retry_after,
 )
 from azurefold.core.admission.queue import FairQueue
 
@@ -16,21 +16,25 @@
 
 
 def test_who_comes_first_is_turned_away_at_once_for_as_long_as_callers_heed():
-    decided = in_outage(OutageRequest(TIMEOUT, TIMEOUT), forms_in=None)
-    assert decided == TurnAway(latest_return(TIMEOUT))
+    decided = decide_during_outage(OutageRequest(TIMEOUT, TIMEOUT), group_ready_in=None)
+    assert decided == RefuseRequest(max_retry_after(TIMEOUT))
     assert decided.retry_after <= TIMEOUT / 3
 
 
 def test_who_has_come_back_waits_a_little_as_it_has_no_other_chance():
-    left = TIMEOUT - latest_return(TIMEOUT)
-    decided = in_outage(OutageRequest(left, TIMEOUT), forms_in=None)
-    assert isinstance(decided, AwaitReturn)
-    assert decided.at_most < left / 3
+    left = TIMEOUT - max_retry_after(TIMEOUT)
+    decided = decide_during_outage(OutageRequest(left, TIMEOUT), group_ready_in=None)
+    assert isinstance(decided, WaitForGroup)
+    assert decided.max_wait < left / 3
 
 
 def test_all_wait_for_a_group_that_forms():
-    assert isinstance(in_outage(OutageRequest(8_000, 8_000), 600), AwaitReturn)
-    assert isinstance(in_outage(OutageRequest(8_000, 8_000), 9_000), TurnAway)
+    assert isinstance(
+        decide_during_outage(OutageRequest(8_000, 8_000), 600), WaitForGroup
+    )
+    assert isinstance(
+        decide_during_outage(OutageRequest(8_000, 8_000), 9_000), RefuseRequest
+    )
 
 
 @pytest.mark.parametrize("outage", [2_000, 6_000, 12_000])
@@ -46,15 +50,17 @@
     for arrived in arrivals:
         now, deadline = arrived, arrived + TIMEOUT
         for _ in range(2):
-            decided = in_outage(OutageRequest(deadline - now, TIMEOUT), None)
-            held = decided.at_most if isinstance(decided, AwaitReturn) else 0
+            decided = decide_during_outage(OutageRequest(deadline - now, TIMEOUT), None)
+            held = decided.max_wait if isinstance(decided, WaitForGroup) else 0
             if now + held >= outage:
                 served += 1
                 break
             longest_held = max(longest_held, held)
-            now += held + getattr(decided, "retry_after", latest_return(deadline - now))
+            now += held + getattr(
+                decided, "retry_after", max_retry_after(deadline - now)
+            )
     # Refused at once both times, callers of the last 2.67 s of an outage were served.
-    reach = latest_return(TIMEOUT) + 1_200
+    reach = max_retry_after(TIMEOUT) + 1_200
     assert served / len(arrivals) == pytest.approx(min(1.0, reach / outage), abs=0.01)
     assert longest_held <= 1_200
 
--- a/tests/core/admission/test_overload_keeps_answers_on_time.py
+++ b/tests/core/admission/test_overload_keeps_answers_on_time.py
@@ -32,14 +32,14 @@
                 100,
                 now + PATIENCE,
                 queued_at=now,
-                on_time_by=now + OBJECTIVE,
+                latest_on_time_start=now + OBJECTIVE,
             )
             queue.offer(item, now)
             next_arrival += draw.expovariate(load / 50)
         queue.expire(now)
         if now % 50 == 0 and (item := queue.take(now)) is not None:
             served += 1
-            on_time[int(item.organisation[1:])] += item.may_be_on_time(now)
+            on_time[int(item.organisation[1:])] += item.can_be_on_time(now)
     worst = min(own / all_ for own, all_ in zip(on_time, asked, strict=True))
     return served / sum(asked), sum(on_time) / sum(asked), worst
 
--- a/tests/core/admission/test_queue_is_fair.py
+++ b/tests/core/admission/test_queue_is_fair.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from azurefold.core.admission.messages import Priority, Queued, Refused, RefusedReason
+from azurefold.core.admission.messages import Priority, Queued, RefusalReason, Refused
 from azurefold.core.admission.queue import FairQueue, QueuePolicy
 
 ROOMY = QueuePolicy(max_length=5_000, max_per_organisation=2_000)
@@ -81,7 +81,7 @@
     queue = FairQueue(QueuePolicy(max_per_organisation=10))
     fill(queue, make_item, "large", 10)
     refused = queue.offer(make_item("large"), 0)
-    assert refused.reason is RefusedReason.ORGANISATION_FULL
+    assert refused.reason is RefusalReason.ORGANISATION_FULL
     assert queue.offer(make_item("small"), 0) == Queued()
 
 
@@ -92,7 +92,7 @@
     offered = queue.offer(make_item("small", Priority.CONFIRMATION), 0)
     (refusal,) = offered.displaced
     assert refusal.item.organisation == "large"
-    assert refusal.refused.reason is RefusedReason.DISPLACED
+    assert refusal.refused.reason is RefusalReason.DISPLACED
     assert len(queue) == 10
 
 
@@ -100,7 +100,7 @@
     queue = FairQueue(QueuePolicy(max_length=10))
     fill(queue, make_item, "large", 10, Priority.CONFIRMATION)
     refused = queue.offer(make_item("small"), 0)
-    assert refused.reason is RefusedReason.QUEUE_FULL
+    assert refused.reason is RefusalReason.QUEUE_FULL
 
 
 def test_an_id_is_queued_once(make_item):
@@ -124,7 +124,7 @@
     patient = make_item(deadline=5_000 + 4_000)
     hurried = make_item(deadline=5_000 + 1_000)
     refused = queue.offer(hurried, 5_000)
-    assert refused.reason is RefusedReason.DEADLINE
+    assert refused.reason is RefusalReason.DEADLINE
     # Twenty wait, and ten go each second.
     assert 1_900 <= refused.retry_after_ms <= 4_000
     assert queue.offer(patient, 5_000) == Queued()
@@ -153,7 +153,7 @@
     def times(draw_of):
         queue = FairQueue(QueuePolicy(max_per_organisation=1))
         fill(queue, make_item, "a", 1)
-        offers = [make_item(draw=draw_of(n)) for n in range(100)]
+        offers = [make_item(jitter=draw_of(n)) for n in range(100)]
         return {queue.offer(item, 0).retry_after_ms for item in offers}
 
     assert len(times(lambda number: number / 100)) > 50
--- a/tests/core/attempts/machine.py
+++ b/tests/core/attempts/machine.py
@@ -1,6 +1,6 @@
 """A model of callers, entries, the table and one agent over a bad network.
 
-The decisions are the product's own: :class:`Course`, :class:`Ledger` and
+The decisions are the product's own: :class:`RequestState`, :class:`Ledger` and
 :func:`decide_claim`. What carries messages between them is made up here
 and delays, doubles and reorders them at Hypothesis' will; one that is delayed
 until the end is lost.
@@ -11,28 +11,33 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from azurefold.core.attempts.claims import Claim, Follow, Mine, decide_claim
-from azurefold.core.attempts.course import (
-    AgentSilent,
-    AskAgent,
-    ConnectionLost,
-    Course,
-    DispatchAgain,
-    Fail,
-    NotDispatched,
-    ResumeAt,
-    SettledAs,
-    Settlement,
+from azurefold.core.attempts.claims import (
+    Claim,
+    ClaimAcquired,
+    FollowAttempt,
+    decide_claim,
 )
-from azurefold.core.attempts.ids import attempt_id
+from azurefold.core.attempts.ids import new_attempt_id
 from azurefold.core.attempts.ledger import (
     Accepted,
-    Known,
+    AlreadyKnown,
     NotRun,
     Refused,
     new_ledger,
 )
-from azurefold.core.attempts.outcome import Ran
+from azurefold.core.attempts.outcome import RunStatus
+from azurefold.core.attempts.request_state import (
+    AgentUnresponsive,
+    AttemptStatus,
+    ConnectionLost,
+    DispatchAgain,
+    Fail,
+    NotDispatched,
+    QueryAttemptStatus,
+    RequestState,
+    ResumeAt,
+    StatusReported,
+)
 
 KEYS = st.integers(0, 1)
 PICK = st.integers(0, 63)
@@ -48,7 +53,7 @@
 
     number: int
     key: int
-    course: Course
+    course: RequestState
     step: object = field(default_factory=DispatchAgain)
     attempt: str = ""
     incarnation: str = ""
@@ -56,7 +61,7 @@
     version: int | None = None
     own: set[str] = field(default_factory=set)
     waiting: str | None = None
-    told: Ran | None = None
+    told: RunStatus | None = None
 
 
 @dataclass(frozen=True)
@@ -91,7 +96,7 @@
 
     def make_course(self):
         """Return the course of a new call."""
-        return Course(idempotent=False)
+        return RequestState(is_idempotent=False)
 
     def __init__(self):
         super().__init__()
@@ -129,7 +134,7 @@
     def time_passes(self, by):
         self.jumps += 1
         self.now += by
-        self.ledger.forget_old(self.now)
+        self.ledger.evict_expired(self.now)
 
     @precondition(lambda self: len(self.calls) == MAX_CALLS and not self._ready())
     @rule()
@@ -144,7 +149,7 @@
         match call.step:
             case DispatchAgain():
                 self._dispatch(call, table_up)
-            case AskAgent() | ResumeAt():
+            case QueryAttemptStatus() | ResumeAt():
                 call.waiting = "settle"
                 self._send("settle", call)
             case Fail(failure=failure):
@@ -175,7 +180,7 @@
     def connection_breaks(self, pick):
         waiting = [c for c in self.calls if c.waiting]
         call = waiting[pick % len(waiting)]
-        lost = ConnectionLost() if call.waiting == "dispatch" else AgentSilent()
+        lost = ConnectionLost() if call.waiting == "dispatch" else AgentUnresponsive()
         self._happened(call, lost)
 
     @invariant()
@@ -186,7 +191,7 @@
     @invariant()
     def not_run_is_true(self):
         for call in self.calls:
-            if call.told is Ran.NOT_RUN:
+            if call.told is RunStatus.NOT_RUN:
                 ran = call.own.intersection(self.runs[call.key])
                 assert not ran, f"call {call.number} was told not run, ran as {ran}"
 
@@ -196,16 +201,16 @@
     def _dispatch(self, call, table_up):
         call.attempts += 1
         self.minted += 1
-        call.attempt = attempt_id(self.now, f"{self.minted:08x}")
+        call.attempt = new_attempt_id(self.now, f"{self.minted:08x}")
         call.incarnation = self.known
         claimed = self._claim(call, table_up)
         if claimed is None:
-            self._tell(call, Ran.UNKNOWN)
+            self._tell(call, RunStatus.UNKNOWN)
             return
-        if isinstance(claimed, Follow):
+        if isinstance(claimed, FollowAttempt):
             call.attempt = claimed.claim.attempt_id
             call.incarnation = claimed.claim.incarnation
-            call.step = AskAgent()
+            call.step = QueryAttemptStatus()
             return
         call.own.add(call.attempt)
         call.waiting = "dispatch"
@@ -214,7 +219,7 @@
     def _claim(self, call, table_up):
         own = Claim(call.attempt, "e", call.incarnation, "digest")
         if not self.use_claims:
-            return Mine()
+            return ClaimAcquired()
         if not table_up:
             return None
         version, row = self.table.get(call.key, (None, None))
@@ -253,12 +258,12 @@
             message.attempt, message.incarnation, "org", self.now
         )
         match answer:
-            case Known(phase=phase):
-                event = SettledAs(Settlement(str(phase)))
+            case AlreadyKnown(phase=phase):
+                event = StatusReported(AttemptStatus(str(phase)))
             case NotRun():
-                event = SettledAs(Settlement.NOT_RUN)
+                event = StatusReported(AttemptStatus.NOT_RUN)
             case _:
-                event = SettledAs(Settlement.UNKNOWN)
+                event = StatusReported(AttemptStatus.UNKNOWN)
         self._reply(message, event)
 
     def _reply(self, message, event):
@@ -266,13 +271,13 @@
 
     def _happened(self, call, event):
         call.waiting = None
-        step = call.course.next(event, lambda: call.attempts < MAX_ATTEMPTS)
+        step = call.course.handle_event(event, lambda: call.attempts < MAX_ATTEMPTS)
         if isinstance(step, ResumeAt):
-            self._tell(call, Ran.RAN)
+            self._tell(call, RunStatus.RAN)
         else:
             call.step = step
 
     def _tell(self, call, ran):
         call.told = ran
-        if ran is Ran.NOT_RUN and self.use_claims:
+        if ran is RunStatus.NOT_RUN and self.use_claims:
             assert not self.runs[call.key], "not run was said of a key that had run"
--- a/tests/core/attempts/test_at_most_once.py
+++ b/tests/core/attempts/test_at_most_once.py
@@ -5,9 +5,9 @@
 from hypothesis.stateful import run_state_machine_as_test
 from tests.core.attempts.machine import AtMostOnce
 
-from azurefold.core.attempts.course import AgentSilent, Course
 from azurefold.core.attempts.ledger import Ledger, NotRun
-from azurefold.core.attempts.outcome import Ran
+from azurefold.core.attempts.outcome import RunStatus
+from azurefold.core.attempts.request_state import AgentUnresponsive, RequestState
 
 THOROUGH = settings(max_examples=500, stateful_step_count=30)
 BITE = settings(
@@ -84,7 +84,7 @@
         def _agent_dispatches(self, message):
             super()._agent_dispatches(message)
             for attempt in list(self.ledger._entries):
-                self.ledger.ended(attempt, "done", self.now)
+                self.ledger.record_end(attempt, "done", self.now)
 
     _is_caught(Machine)
 
@@ -92,15 +92,15 @@
 def test_an_entry_that_takes_silence_for_not_run_is_caught():
     # Symptom: "not run" is said of a booking that was made. Sequence: the
     # dispatch arrives, every answer is lost. Cause: no answer is no news.
-    class Hasty(Course):
-        def next(self, event, may_retry):
-            if isinstance(event, AgentSilent):
+    class Hasty(RequestState):
+        def handle_event(self, event, may_retry):
+            if isinstance(event, AgentUnresponsive):
                 return self._not_run("silent", may_retry)
-            return super().next(event, may_retry)
+            return super().handle_event(event, may_retry)
 
     class Machine(AtMostOnce):
         def make_course(self):
-            return Hasty(idempotent=False)
+            return Hasty(is_idempotent=False)
 
     _is_caught(Machine)
 
@@ -119,12 +119,12 @@
     # Symptom: "not run" is said of an idempotent request whose first attempt
     # ran. Sequence: the first agent dies, the retry finds no free endpoint.
     # Cause: the refusal is true of the retry, not of the request.
-    course = Course(idempotent=True)
-    step = course.next(AgentSilent(), lambda: True)
+    course = RequestState(is_idempotent=True)
+    step = course.handle_event(AgentUnresponsive(), lambda: True)
     for _ in range(5):
-        step = course.next(AgentSilent(), lambda: True)
-    refusal = course.next(AgentSilent(), lambda: False)
+        step = course.handle_event(AgentUnresponsive(), lambda: True)
+    refusal = course.handle_event(AgentUnresponsive(), lambda: False)
     assert step is not None
     while not hasattr(refusal, "failure"):
-        refusal = course.next(AgentSilent(), lambda: False)
-    assert refusal.failure.ran is Ran.UNKNOWN
+        refusal = course.handle_event(AgentUnresponsive(), lambda: False)
+    assert refusal.failure.ran is RunStatus.UNKNOWN
--- a/tests/core/attempts/test_crashes.py
+++ b/tests/core/attempts/test_crashes.py
@@ -66,7 +66,7 @@
     other_node.note_answer(CRASHING, 500)
     crash(tracker, 1_000, 1_400)
     other_node.merge(CRASHING, tracker.reports()[CRASHING], 1_450)
-    assert other_node.changed_locally_since(1_400)
+    assert other_node.has_changed_locally_since(1_400)
     assert tracker.merge(CRASHING, other_node.reports()[CRASHING], 1_500)
     assert tracker.quarantine(CRASHING, 1_600) is None
 
--- a/tests/core/attempts/test_passes_that_grow_longer_are_noticed.py
+++ b/tests/core/attempts/test_passes_that_grow_longer_are_noticed.py
@@ -2,17 +2,17 @@
 
 import pytest
 
-from azurefold.core.attempts.events import PassLengths
+from azurefold.core.attempts.events import EventGapMonitor
 
 
 def observed(gaps, now=0, lengths=None):
     """Take in gaps of eight streams, pass after pass; return when it is noticed."""
-    lengths = lengths or PassLengths()
+    lengths = lengths or EventGapMonitor()
     for gap in gaps:
         now += gap
         for _ in range(8):
             lengths.observe(gap, now)
-        if lengths.have_grown(now):
+        if lengths.has_increased(now):
             return lengths, now
     return lengths, None
 
@@ -32,7 +32,7 @@
 def test_it_is_told_once():
     lengths, _ = observed([60] * 40)
     lengths, noticed = observed([110] * 10, now=2_400, lengths=lengths)
-    lengths.settle(noticed)
-    assert not lengths.have_grown(noticed)
+    lengths.reset_baseline(noticed)
+    assert not lengths.has_increased(noticed)
     _, again = observed([110] * 20, now=noticed, lengths=lengths)
     assert again is None
--- a/tests/entry/conftest.py
+++ b/tests/entry/conftest.py
@@ -5,7 +5,7 @@
 import pytest
 
 from azurefold.core.admission.messages import Priority
-from azurefold.core.attempts.course import Settlement
+from azurefold.core.attempts.request_state import AttemptStatus
 from azurefold.core.clock import Clock
 from azurefold.entry.admission import new_admission
 from azurefold.entry.agent_messages import AgentAddress, NotTaken, Opened
@@ -59,7 +59,7 @@
 
     def settle(self, agent, attempt_id, organisation):
         """Answer from ``states``, at last always that it is done."""
-        return self.states.pop(0) if self.states else Settlement.DONE
+        return self.states.pop(0) if self.states else AttemptStatus.DONE
 
     def _connect(self, attempt_id, offset):
         if not self.script:
--- a/tests/entry/test_admission_keeps_room_for_confirmations.py
+++ b/tests/entry/test_admission_keeps_room_for_confirmations.py
@@ -70,7 +70,7 @@
 
 def test_shares_weigh_organisations(time):
     admission = admission_of(time, slots=1)
-    admission.queue.set_shares({"large": 3.0, "small": 1.0})
+    admission.queue.set_weights({"large": 3.0, "small": 1.0})
     asked(admission, ticket("0"))
     waiting = {
         name: asked(
--- a/tests/entry/test_agents_cancel_what_nobody_reads.py
+++ b/tests/entry/test_agents_cancel_what_nobody_reads.py
@@ -61,7 +61,7 @@
     assert not world.orders
     ticks(world, runner, 3)
     assert world.orders == ["attempt"]
-    assert runner.ledger.running == 0
+    assert runner.ledger.running_count == 0
 
 
 def test_a_cancelled_answer_is_never_given_as_a_whole_one(world):
--- a/tests/entry/test_answers_come_whole_or_end_in_an_error.py
+++ b/tests/entry/test_answers_come_whole_or_end_in_an_error.py
@@ -5,8 +5,14 @@
 from hypothesis import strategies as st
 from tests.entry.conftest import Counts, FakeAgents, ManualClock, make_relay, request
 
-from azurefold.core.attempts.frames import Assembler, End, Frame, Passed, text_digest
-from azurefold.core.attempts.outcome import Ran
+from azurefold.core.attempts.frames import (
+    AnswerAssembler,
+    EndFrame,
+    Frame,
+    NewText,
+    text_digest,
+)
+from azurefold.core.attempts.outcome import RunStatus
 from azurefold.entry import relay as relay_module
 from azurefold.entry.lines import LostError
 from azurefold.entry.parts import GivenUp, Text, Whole
@@ -25,7 +31,7 @@
 
 def end_of(attempt_id, text=TEXT):
     """Return the last frame of a text."""
-    return End(attempt_id, len(text), text_digest(text))
+    return EndFrame(attempt_id, len(text), text_digest(text))
 
 
 def disturbed(attempt_id, frames, changes):
@@ -93,7 +99,7 @@
     if isinstance(ends[0], Whole):
         assert text == TEXT
     else:
-        assert not text or ends[0].failure.ran is not Ran.NOT_RUN
+        assert not text or ends[0].failure.ran is not RunStatus.NOT_RUN
 
 
 @given(connections)
@@ -101,19 +107,21 @@
     check(run(script))
 
 
-class _TrustingAssembler(Assembler):
+class _TrustingAssembler(AnswerAssembler):
     """Passes on whatever comes; the mutant."""
 
     def accept(self, frame):
         if isinstance(frame, Frame):
             self.next_offset += len(frame.text)
-            return Passed(self.next_offset, frame.text)
-        return Assembler.accept(self, End(self.attempt_id, self.next_offset, ""))
+            return NewText(self.next_offset, frame.text)
+        return AnswerAssembler.accept(
+            self, EndFrame(self.attempt_id, self.next_offset, "")
+        )
 
 
 @pytest.mark.parametrize("kind", ["doubled", "late", "foreign"])
 def test_a_relay_that_trusts_every_frame_is_caught(monkeypatch, kind):
-    monkeypatch.setattr(relay_module, "Assembler", _TrustingAssembler)
+    monkeypatch.setattr(relay_module, "AnswerAssembler", _TrustingAssembler)
     with pytest.raises(AssertionError):
         check(run([([5, 9], [(kind, 1)], 0)]))
 
@@ -136,7 +144,7 @@
     asked = request(idempotent=False)
     parts = list(make_relay(FakeAgents([lines]), ManualClock(), asked).run())
     assert isinstance(parts[-1], GivenUp)
-    assert parts[-1].failure.ran is not Ran.NOT_RUN
+    assert parts[-1].failure.ran is not RunStatus.NOT_RUN
 
 
 def test_an_answer_that_its_endpoint_broke_off_ends_in_an_error():
@@ -146,7 +154,7 @@
 
     parts = list(make_relay(FakeAgents([lines]), ManualClock()).run())
     assert isinstance(parts[-1], GivenUp)
-    assert parts[-1].failure.ran is Ran.RAN
+    assert parts[-1].failure.ran is RunStatus.RAN
 
 
 def test_frames_that_are_not_passed_on_are_counted():
--- a/tests/entry/test_bad_input_costs_little.py
+++ b/tests/entry/test_bad_input_costs_little.py
@@ -9,7 +9,7 @@
 from tests.entry.conftest import FakeAgents, ManualClock
 
 from azurefold.core.admission.messages import Priority
-from azurefold.core.attempts.outcome import Failure, Ran
+from azurefold.core.attempts.outcome import Failure, RunStatus
 from azurefold.entry.claims import new_claim_writer
 from azurefold.entry.http_api import entry_app
 from azurefold.entry.metrics import new_entry_metrics
@@ -110,7 +110,7 @@
             gevent.sleep(0.001)
     assert state.in_flight == 1
     _, result = next(iter(service.admission._waiting.values()))
-    result.set(Failure(Ran.NOT_RUN, "deadline", "", 100))
+    result.set(Failure(RunStatus.NOT_RUN, "deadline", "", 100))
     assert answer_of(sock)[1]["ran"] == "not_run"
     assert state.in_flight == 0
 
--- a/tests/entry/test_channels_carry_many_answers.py
+++ b/tests/entry/test_channels_carry_many_answers.py
@@ -6,7 +6,7 @@
 
 from azurefold.agent.buffer import AnswerBuffer
 from azurefold.agent.channels import Channels
-from azurefold.core.attempts.frames import Assembler, Finished
+from azurefold.core.attempts.frames import AnswerAssembler, AnswerComplete
 from azurefold.entry.channels import Channel
 from azurefold.entry.lines import LostError
 from azurefold.wire.frames import Head
@@ -41,7 +41,7 @@
 
 def read(followed):
     """Return the head's status and the whole text of an attempt."""
-    assembler = Assembler(followed.attempt_id)
+    assembler = AnswerAssembler(followed.attempt_id)
     text, status = "", None
     for lines in followed.lines():
         for line in lines:
@@ -49,7 +49,7 @@
                 status = line.status
                 continue
             result = assembler.accept(line)
-            if isinstance(result, Finished):
+            if isinstance(result, AnswerComplete):
                 return status, text
             text += result.text
     return None
--- a/tests/entry/test_claims_are_written_in_batches.py
+++ b/tests/entry/test_claims_are_written_in_batches.py
@@ -5,8 +5,8 @@
 import gevent
 import pytest
 
-from azurefold.core.attempts.claims import Claim, Follow, Mine
-from azurefold.core.attempts.outcome import Failure, Ran
+from azurefold.core.attempts.claims import Claim, ClaimAcquired, FollowAttempt
+from azurefold.core.attempts.outcome import Failure, RunStatus
 from azurefold.entry.claims import ClaimTaker, new_claim_writer
 from azurefold.site_store.messages import (
     Conflict,
@@ -90,7 +90,7 @@
 
 def test_claims_of_one_moment_go_in_one_write(writer, table):
     answers = take_all(writer, [(f"k{n}", f"attempt-{n}") for n in range(40)])
-    assert answers == [Mine()] * 40
+    assert answers == [ClaimAcquired()] * 40
     assert table.sizes[0] == 40
 
 
@@ -99,8 +99,10 @@
     # at the same moment, with the same key. Cause: both would find the row
     # absent; only a conditional write decides between them.
     answers = take_all(writer, [("k", f"attempt-{n}") for n in range(10)])
-    assert sum(isinstance(answer, Mine) for answer in answers) == 1
-    followed = {answer.claim.attempt_id for answer in answers if answer != Mine()}
+    assert sum(isinstance(answer, ClaimAcquired) for answer in answers) == 1
+    followed = {
+        answer.claim.attempt_id for answer in answers if answer != ClaimAcquired()
+    }
     assert len(followed) == 1
 
 
@@ -108,8 +110,8 @@
     take(writer, "taken", "before")
     pairs = [(key, f"new-{key}") for key in ("k1", "taken", "k2")]
     first, second, third = take_all(writer, pairs)
-    assert (first, third) == (Mine(), Mine())
-    assert isinstance(second, Follow)
+    assert (first, third) == (ClaimAcquired(), ClaimAcquired())
+    assert isinstance(second, FollowAttempt)
     assert second.claim.attempt_id == "before"
 
 
@@ -118,7 +120,10 @@
     # Sequence: the write takes effect, its answer is lost. Cause: without
     # reading the row back nobody knows which.
     table.faults = ["lost answer"]
-    assert take_all(writer, [("k1", "a1"), ("k2", "a2")]) == [Mine(), Mine()]
+    assert take_all(writer, [("k1", "a1"), ("k2", "a2")]) == [
+        ClaimAcquired(),
+        ClaimAcquired(),
+    ]
 
 
 @pytest.mark.parametrize("fault", ["lost", "down"])
@@ -126,7 +131,7 @@
     table.faults = [fault]
     (answer,) = take_all(writer, [("k", "a1")])
     assert isinstance(answer, Failure)
-    assert answer.ran is Ran.NOT_RUN
+    assert answer.ran is RunStatus.NOT_RUN
     assert answer.retry_after_ms
     assert not table.rows
 
@@ -151,11 +156,11 @@
     # table is down. Cause: "not run" would be true of the repeat alone.
     take(writer, "k", "a1")
     repeat = ClaimTaker(writer, "k", "r")
-    refusal = Failure(Ran.NOT_RUN, "queue_full", "", 100)
+    refusal = Failure(RunStatus.NOT_RUN, "queue_full", "", 100)
     assert repeat.check_refusal(refusal) != refusal
     table.reads_down = True
     again = ClaimTaker(writer, "k", "r").check_refusal(refusal)
-    assert again.ran is Ran.UNKNOWN
+    assert again.ran is RunStatus.UNKNOWN
 
 
 def test_a_fault_while_writing_leaves_no_caller_waiting():
--- a/tests/gateway/test_requests_go_to_groups_that_run.py
+++ b/tests/gateway/test_requests_go_to_groups_that_run.py
@@ -12,7 +12,7 @@
     relay_of,
 )
 
-from azurefold.core.admission.outage import latest_return
+from azurefold.core.admission.outage import max_retry_after
 from azurefold.core.routes.model import AnswerKind
 from azurefold.core.routing.peer_loads import endpoint_hash
 from azurefold.core.routing.rank_groups import GroupStatus, Standing
@@ -82,7 +82,7 @@
     state.group_told(news_of(2, Standing.DOWN, SECOND))
     [given_up] = parts_of(relay)
     assert asked == []
-    assert given_up.failure.retry_after_ms == latest_return(TIMEOUT_MS)
+    assert given_up.failure.retry_after_ms == max_retry_after(TIMEOUT_MS)
 
 
 def test_who_has_come_back_is_served_when_a_group_runs_again(
@@ -135,4 +135,4 @@
         answers[name] = refusing(f"10.0.0.{name[1]}:80")
     state.is_cut_off = True
     [given_up] = parts_of(relay)
-    assert given_up.failure.retry_after_ms == latest_return(TIMEOUT_MS)
+    assert given_up.failure.retry_after_ms == max_retry_after(TIMEOUT_MS)
--- a/tests/gateway/test_requests_that_crash_endpoints.py
+++ b/tests/gateway/test_requests_that_crash_endpoints.py
@@ -18,7 +18,7 @@
 from tests.gateway.test_relays_answer_truthfully import relay_of
 
 from azurefold.core.attempts.crashes import CRASHES_ENDPOINTS
-from azurefold.core.attempts.outcome import Ran
+from azurefold.core.attempts.outcome import RunStatus
 from azurefold.core.routes.model import AnswerKind
 from azurefold.entry.admission import Admission
 from azurefold.gateway.callers.calls import Begun
@@ -62,7 +62,7 @@
     first = site.send("gw-000", CRASHING)
     assert len(site.crashes) == 2
     # The request was sent, so it may have run.
-    assert (first.status, first.failure.ran) == (502, Ran.UNKNOWN)
+    assert (first.status, first.failure.ran) == (502, RunStatus.UNKNOWN)
     site.run(RESTART_MS)
     for name in site.by_name:
         refusal = site.send(name, CRASHING)
@@ -175,7 +175,7 @@
         patch.setattr(Admission, "acquire", _once(acquire_after_crashes, acquire))
         refusal = site.send("gw-000", CRASHING)
     assert refusal.failure.reason == CRASHES_ENDPOINTS
-    assert refusal.failure.ran is Ran.NOT_RUN
+    assert refusal.failure.ran is RunStatus.NOT_RUN
     assert len(site.crashes) == 2
     assert not state.services[SERVICE].admission.pool.in_flight
 
--- a/tests/gateway/test_retries_are_charged_once.py
+++ b/tests/gateway/test_retries_are_charged_once.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from azurefold.core.attempts.course import NotDispatched
+from azurefold.core.attempts.request_state import NotDispatched
 from azurefold.core.clock import ManualTime, manual_clock
 from azurefold.core.membership.registry import EndpointEntry
 from azurefold.core.routes.model import (
