--- a/src/azurefold/core/attempts/__init__.py
+++ b/src/azurefold/core/attempts/__init__.py
@@ -1,1 +1,1 @@
-"""Attempts of requests: run, not run or unknown; whole answers."""
+"""Attempts of requests: retry decisions, execution status, answer assembly."""
--- a/src/azurefold/core/attempts/claims.py
+++ b/src/azurefold/core/attempts/claims.py
@@ -1,8 +1,8 @@
-"""Claims: one row in the platform's table for each key of a caller.
+"""Claims: one row in the platform's table for each ``Idempotency-Key``.
 
 A row is written, if absent, before a non-idempotent request with an
-``Idempotency-Key`` is dispatched. Whoever holds the row may run the request;
-everybody else follows the attempt named in it.
+``Idempotency-Key`` is dispatched. Only the attempt named in the row may run
+the request; other calls with the key return that attempt's answer.
 """
 
 import hashlib
@@ -24,16 +24,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """Which attempt may run a caller's request.
+    """The attempt that may run a caller's request.
 
     Parameters
     ----------
     attempt_id, endpoint, incarnation : str
-        The attempt and the agent's incarnation it is bound to. An agent in
-        another incarnation refuses it, so the claim dies with the agent
-        instead of being run again after a restart.
+        The attempt and the agent's incarnation it is bound to. Any other
+        incarnation refuses the attempt, so a claim is not run again after the
+        agent restarts.
     request : str
-        :func:`request_digest` of the request that the key stands for.
+        :func:`request_digest` of the request that was sent with the key.
     """
 
     attempt_id: str
@@ -44,43 +44,43 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimAcquired:
-    """The row names the own attempt: dispatch it."""
+    """The row names this call's attempt, which may be dispatched."""
 
 
 @dataclass(frozen=True, slots=True)
 class FollowAttempt:
-    """Another attempt holds the key: give the caller that one's answer."""
+    """Another attempt holds the claim; return its answer to the caller."""
 
     claim: Claim
 
 
 @dataclass(frozen=True, slots=True)
 class KeyReused:
-    """The key was used for another request before."""
+    """The key was already used for a different request."""
 
 
 ClaimDecision = ClaimAcquired | FollowAttempt | KeyReused
 
 
 def claim_key(organisation: str, service: str, idempotency_key: str) -> str:
-    """Return the table key of a caller's key.
+    """Return the table key for an ``Idempotency-Key``.
 
-    The caller's text is hashed: it may be long or hold any character.
+    The caller's text is hashed, because it may be long or contain any character.
     """
     text = _SEPARATOR.join((organisation, service, idempotency_key))
     return "claim/" + hashlib.sha256(text.encode()).hexdigest()
 
 
 def request_digest(path: str, body: bytes) -> str:
-    """Return a digest by which a repeat is told from another request."""
+    """Return a digest that is equal for repeats of the same request."""
     return hashlib.sha256(path.encode() + b"\0" + body).hexdigest()
 
 
 def decide_claim(own: Claim, row: Claim) -> ClaimDecision:
-    """Say what the row found in the table means for the own attempt.
+    """Return the result of a claim from the row found in the table.
 
-    Used after a conflict and after a lost answer alike: comparing the attempt
-    id tells an own write that took effect from somebody else's.
+    Used after a write conflict and after a lost answer to a write. Comparing the
+    attempt ids shows whether this call's write or another one took effect.
     """
     if row.attempt_id == own.attempt_id:
         return ClaimAcquired()
--- a/src/azurefold/core/attempts/frames.py
+++ b/src/azurefold/core/attempts/frames.py
@@ -1,7 +1,7 @@
-"""Frames of an answer, and the assembler that passes each part on once.
+"""Frames of an answer, and the assembler that removes duplicates from them.
 
-An answer travels as frames that carry the attempt they belong to and the
-offset, in characters, at which their text starts. The last one carries the
+An answer is sent as frames that carry the attempt they belong to and the
+offset, in characters, at which their text starts. The last frame carries the
 length and the digest of the whole text.
 """
 
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Frame:
-    """A run of text of one attempt.
+    """Part of the text of one attempt's answer.
 
     Parameters
     ----------
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndFrame:
-    """The end of an answer.
+    """Last frame of an answer.
 
     Parameters
     ----------
@@ -59,7 +59,7 @@
 
 
 class DropReason(StrEnum):
-    """Why a frame was not passed on."""
+    """Why a frame was dropped."""
 
     FOREIGN = "foreign"
     DUPLICATE = "duplicate"
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NewText:
-    """Text that the caller has not had yet, starting at ``offset``."""
+    """Text that was not yet forwarded to the caller, starting at ``offset``."""
 
     offset: int
     text: str
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FrameDropped:
-    """A frame that was not passed on."""
+    """The frame was dropped."""
 
     reason: DropReason
 
@@ -90,14 +90,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerComplete:
-    """The whole answer was passed on and its digest fits."""
+    """The whole answer was forwarded, and its length and digest match."""
 
     total: int
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerCorrupted:
-    """What was passed on is not the answer that the endpoint gave."""
+    """The forwarded text differs from the endpoint's answer."""
 
     detail: str
 
@@ -109,22 +109,21 @@
 
 @dataclass(slots=True)
 class AnswerAssembler:
-    """Turn frames in any order and number into one answer.
+    """Assemble one answer from frames that may be repeated or out of order.
 
-    Only the next offset of the own attempt is passed on. What would go wrong
-    without it: after a resume the old connection's frames may still arrive,
-    and a caller would read a passage twice; one would notice by a digest that
-    does not fit, but only after the caller had the text.
+    Only text at the next offset of this attempt is forwarded. After a resume,
+    frames of the old connection may still arrive; forwarded, they would repeat
+    a passage. The digest would reveal that only after the caller had the text.
 
     Parameters
     ----------
     attempt_id : str
-        The attempt whose frames are wanted.
+        The attempt whose frames are accepted.
     next_offset : int, default=0
-        Characters that the caller already has.
+        Characters already forwarded to the caller.
     can_verify_digest : bool, default=True
         False after a resume by a caller, where the text before
-        ``next_offset`` is not here and only the length can be checked.
+        ``next_offset`` is not available and only the length can be checked.
     """
 
     attempt_id: str
@@ -136,7 +135,7 @@
     def accept(
         self, frame: Frame | EndFrame
     ) -> NewText | FrameDropped | TextMissing | AnswerComplete | AnswerCorrupted:
-        """Take one frame and say what to do with it."""
+        """Process one frame and return the result."""
         if frame.attempt_id != self.attempt_id:
             return FrameDropped(DropReason.FOREIGN)
         if self._finished:
@@ -150,14 +149,14 @@
     def _accept_text(self, frame: Frame) -> NewText | FrameDropped | TextMissing:
         if frame.offset > self.next_offset:
             return TextMissing(self.next_offset)
-        known = self.next_offset - frame.offset
-        new = frame.text[known:] if known else frame.text
-        if not new:
+        overlap = self.next_offset - frame.offset
+        new_text = frame.text[overlap:] if overlap else frame.text
+        if not new_text:
             return FrameDropped(DropReason.DUPLICATE)
         offset = self.next_offset
-        self._sha.update(new.encode())
-        self.next_offset += len(new)
-        return NewText(offset, new)
+        self._sha.update(new_text.encode())
+        self.next_offset += len(new_text)
+        return NewText(offset, new_text)
 
     def _accept_end(
         self, end: EndFrame
--- a/src/azurefold/core/attempts/ids.py
+++ b/src/azurefold/core/attempts/ids.py
@@ -1,4 +1,4 @@
-"""Names of answers that lead back to where the answer is kept."""
+"""Attempt ids, and answer ids that locate the agent that keeps an answer."""
 
 from dataclasses import dataclass
 
@@ -18,11 +18,11 @@
 
 
 class InvalidAnswerIdError(ValueError):
-    """An answer id that was not given out by azurefold."""
+    """The text is not an answer id issued by azurefold."""
 
 
 def new_attempt_id(wall_now: Millis, random_hex: str) -> str:
-    """Return a new attempt id that tells when it was made.
+    """Return a new attempt id, which starts with its time of creation.
 
     Examples
     --------
@@ -33,10 +33,10 @@
 
 
 def attempt_created_at(attempt: str) -> Millis:
-    """Return the wall-clock time at which an attempt id was made.
+    """Return the wall-clock time at which an attempt id was created.
 
-    An id of another form counts as made at the epoch: nothing good is ever
-    concluded from an id for being old.
+    An id of another form counts as created at the epoch. This is safe, because
+    old ids are only ever refused or reported as unknown.
 
     Examples
     --------
@@ -53,10 +53,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerId:
-    """Where an answer is kept.
+    """Location of a kept answer, and a position in it.
 
-    It names an endpoint, never an address: what a caller sends back must not
-    decide which address an entry connects to.
+    It contains an endpoint's name and no address, because input from callers
+    must not determine which address an entry connects to.
 
     Parameters
     ----------
@@ -65,7 +65,7 @@
         Of the endpoint's agent when the attempt was dispatched.
     attempt_id : str
     offset : int, default=0
-        Characters that the caller has.
+        Characters that the caller has received.
 
     Examples
     --------
@@ -86,7 +86,7 @@
 
 
 def parse_answer_id(text: str) -> AnswerId:
-    """Read an answer id.
+    """Parse an answer id.
 
     Raises
     ------
@@ -97,7 +97,7 @@
     well_formed = len(parts) == _PARTS and all(parts) and parts[3].isdecimal()
     if not well_formed or len(parts[3]) > 12:
         raise InvalidAnswerIdError(
-            "send back the id of the last event as it came, "
+            "send the id of the last event unchanged, "
             "in the form endpoint~incarnation~attempt~offset"
         )
     return AnswerId(parts[0], parts[1], parts[2], int(parts[3]))
--- a/src/azurefold/core/attempts/outcome.py
+++ b/src/azurefold/core/attempts/outcome.py
@@ -1,4 +1,4 @@
-"""What is known of whether a request ran."""
+"""Run status and failure of a request."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -9,7 +9,7 @@
 
 
 class RunStatus(StrEnum):
-    """Whether a request ran, as far as can be said truthfully."""
+    """Whether a request ran, as far as is known for certain."""
 
     NOT_RUN = "not_run"
     RAN = "ran"
@@ -18,21 +18,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Failure:
-    """The final answer to a request that got no whole answer.
+    """Final result of a request that got no complete answer.
 
     Parameters
     ----------
     ran : RunStatus
         Whether the request ran.
     reason : str
-        A short machine-readable word such as ``"queue_full"``.
+        Machine-readable code such as ``"queue_full"``.
     detail : str
-        A sentence for people that says what to do.
+        Message for people that states what to do.
     retry_after_ms : int or None
-        When to come back, or None where coming back does not help.
+        When to retry, or None where a retry does not help.
     this_call : RunStatus or None
-        Where ``ran`` speaks for a key that earlier calls may have used: what
-        is known of this call alone.
+        Run status of this call alone, where ``ran`` covers all calls with the
+        same ``Idempotency-Key``.
     """
 
     ran: RunStatus
--- a/src/azurefold/core/attempts/request_state.py
+++ b/src/azurefold/core/attempts/request_state.py
@@ -1,8 +1,8 @@
-"""The course of one caller's request over its attempts.
+"""State machine of one caller's request over its attempts.
 
-The entry tells the course what happened and does what it answers. All rules on
-when a request may be sent again, and what the caller may be told of it, are
-here and nowhere else.
+The entry or gateway passes in each event and carries out the action returned.
+This module alone decides when a request may be sent again and which outcome is
+reported to the caller.
 """
 
 from collections.abc import Callable
@@ -30,7 +30,7 @@
     "NextAction",
 ]
 
-_MAX_ASKS = 3
+_MAX_STATUS_QUERIES = 3
 _RETRY_AFTER_MS: Millis = 1_000
 _DETAIL = {
     RunStatus.NOT_RUN: "The request was not run; send it again.",
@@ -43,7 +43,7 @@
 
 
 class AttemptStatus(StrEnum):
-    """What an agent says of an attempt when asked."""
+    """Status of an attempt, as its agent reports it."""
 
     RUNNING = "running"
     DONE = "done"
@@ -54,31 +54,31 @@
 
 @dataclass(frozen=True, slots=True)
 class NotDispatched:
-    """The attempt was refused, or nothing could be sent: it was not run."""
+    """The attempt was not run: it was refused, or nothing could be sent."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionLost:
-    """The connection broke or went silent after something was sent."""
+    """The connection broke or timed out after something was sent."""
 
 
 @dataclass(frozen=True, slots=True)
 class StatusReported:
-    """The agent answered, over a new connection, what became of it."""
+    """The agent reported the attempt's status over a new connection."""
 
     state: AttemptStatus
 
 
 @dataclass(frozen=True, slots=True)
 class AgentUnresponsive:
-    """The question over a new connection got no answer either."""
+    """The status query over a new connection was not answered either."""
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointFailed:
-    """The agent says that the answer cannot be finished.
+    """The agent reported that the answer cannot be finished.
 
     Parameters
     ----------
@@ -91,12 +91,12 @@
 
 @dataclass(frozen=True, slots=True)
 class DeadlinePassed:
-    """The caller's deadline came while the endpoint was still at it."""
+    """The caller's deadline passed while the endpoint was still running it."""
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerTextExpired:
-    """The agent no longer has the text to go on from."""
+    """The agent no longer keeps the text from which to resume."""
 
 
 Event = (
@@ -117,19 +117,19 @@
 
 @dataclass(frozen=True, slots=True)
 class QueryAttemptStatus:
-    """Ask the agent over a new connection what became of the attempt."""
+    """Query the attempt's status from its agent over a new connection."""
 
 
 @dataclass(frozen=True, slots=True)
 class ResumeAt:
-    """Fetch the rest of the answer over a new connection."""
+    """Fetch the answer from ``offset`` on over a new connection."""
 
     offset: int
 
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Give the caller this final answer, at once."""
+    """Answer the caller with this failure, without another attempt."""
 
     failure: Failure
 
@@ -139,32 +139,34 @@
 
 @dataclass(slots=True)
 class RequestState:
-    """State of one request between its attempts.
+    """State of one request across its attempts.
 
     Parameters
     ----------
     is_idempotent : bool
-        Whether running the request twice does no harm.
+        Whether the request is safe to run twice.
+    forwarded : int, default=0
+        Characters or events of the answer already forwarded to the caller.
     is_resumable : bool
-        Whether another endpoint can go on from any place in the answer. Where
-        answers are kept by agents this is not needed: the agent resumes them.
+        Whether another endpoint can resume the answer at any position. Not
+        needed where agents keep the answers, because the agent resumes them.
     """
 
     is_idempotent: bool
     forwarded: int = 0
     is_resumable: bool = False
-    _asks: int = 0
-    _perhaps_ran: bool = False
+    _status_queries: int = 0
+    _may_have_run: bool = False
 
     def handle_event(self, event: Event, may_retry: Callable[[], bool]) -> NextAction:
-        """Say what to do after ``event``.
+        """Return the action to take after ``event``.
 
         Parameters
         ----------
         event : Event
         may_retry : callable
             Whether deadline, retry budget and other endpoints allow another
-            attempt. Called only when one would be made, as it spends budget.
+            attempt. Called only if one would be made, because it spends budget.
 
         Returns
         -------
@@ -174,11 +176,11 @@
             case NotDispatched(reason=reason):
                 return self._not_run(reason, may_retry)
             case ConnectionLost():
-                return self._ask()
+                return self._query_status()
             case StatusReported(state=state):
-                return self._settled(state, may_retry)
+                return self._on_status(state, may_retry)
             case AgentUnresponsive():
-                return self._silent(may_retry)
+                return self._on_unresponsive_agent(may_retry)
             case EndpointFailed(ran=RunStatus.NOT_RUN):
                 return self._not_run("endpoint_unreachable", may_retry)
             case EndpointFailed():
@@ -189,29 +191,29 @@
                 return self._unknown("answer_not_kept", may_retry)
 
     def correct_refusal(self, failure: Failure) -> Failure:
-        """Return the truth of a refusal that came after earlier attempts.
+        """Return a retry's refusal with the run status of the whole request.
 
-        A retry that finds no free endpoint was itself not run. But if an
-        earlier attempt may have run, "not run" would be untrue of the request.
+        A retry that finds no free endpoint was not run itself. If an earlier
+        attempt may have run, "not run" would be wrong for the request.
         """
-        if failure.ran is RunStatus.NOT_RUN and self._perhaps_ran:
+        if failure.ran is RunStatus.NOT_RUN and self._may_have_run:
             return replace(failure, ran=RunStatus.UNKNOWN)
         return failure
 
     def record_progress(self) -> None:
-        """Note that the agent is sending, so that asks are counted anew."""
-        self._asks = 0
+        """Reset the count of status queries, because the agent is sending."""
+        self._status_queries = 0
 
-    def _ask(self) -> NextAction:
-        self._asks += 1
+    def _query_status(self) -> NextAction:
+        self._status_queries += 1
         return QueryAttemptStatus()
 
-    def _silent(self, may_retry: Callable[[], bool]) -> NextAction:
-        if self._asks < _MAX_ASKS:
-            return self._ask()
+    def _on_unresponsive_agent(self, may_retry: Callable[[], bool]) -> NextAction:
+        if self._status_queries < _MAX_STATUS_QUERIES:
+            return self._query_status()
         return self._unknown("agent_gone", may_retry)
 
-    def _settled(
+    def _on_status(
         self, state: AttemptStatus, may_retry: Callable[[], bool]
     ) -> NextAction:
         match state:
@@ -226,25 +228,25 @@
         if self.forwarded > 0:
             return self._unknown(reason, may_retry)
         if may_retry():
-            return self._again()
-        ran = RunStatus.UNKNOWN if self._perhaps_ran else RunStatus.NOT_RUN
+            return self._dispatch_again()
+        ran = RunStatus.UNKNOWN if self._may_have_run else RunStatus.NOT_RUN
         return _fail(ran, reason, _DETAIL[ran])
 
     def _unknown(self, reason: str, may_retry: Callable[[], bool]) -> NextAction:
-        # Text that a caller has read cannot be taken back, and a second run
-        # would go on with another text. So from the first character on there
-        # is only resuming, by the agent that keeps the text or by an endpoint
-        # that can go on from any place, or an explicit end.
+        # Text that was forwarded cannot be withdrawn, and a second run would
+        # produce a different text. After the first character the answer can
+        # only be resumed, by the agent that keeps the text or by an endpoint
+        # that can resume at any position, or ended with an explicit error.
         if self.forwarded > 0 and not self.is_resumable:
             return _fail(RunStatus.RAN, reason, _DETAIL[RunStatus.RAN])
-        self._perhaps_ran = True
+        self._may_have_run = True
         if self.is_idempotent and may_retry():
-            return self._again()
+            return self._dispatch_again()
         ran = RunStatus.RAN if self.forwarded > 0 else RunStatus.UNKNOWN
         return _fail(ran, reason, _DETAIL[ran])
 
-    def _again(self) -> NextAction:
-        self._asks = 0
+    def _dispatch_again(self) -> NextAction:
+        self._status_queries = 0
         return DispatchAgain()
 
 
