--- a/src/azurefold/core/configuration/pollers.py
+++ b/src/azurefold/core/configuration/pollers.py
@@ -8,13 +8,15 @@
 import hashlib
 from collections.abc import Iterable
 
-__all__ = ["N_POLLERS", "choose_pollers"]
+__all__ = ["POLLERS_PER_DATA_CENTRE", "choose_pollers"]
 
-N_POLLERS = 2
+POLLERS_PER_DATA_CENTRE = 2
 
 
 def choose_pollers(
-    live_controls: Iterable[str], data_centre: str, n_pollers: int = N_POLLERS
+    live_controls: Iterable[str],
+    data_centre: str,
+    n_pollers: int = POLLERS_PER_DATA_CENTRE,
 ) -> tuple[str, ...]:
     """Choose pollers by rendezvous hashing, without coordination.
 
--- a/src/azurefold/core/configuration/sections.py
+++ b/src/azurefold/core/configuration/sections.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 __all__ = [
-    "N_CHUNKS",
+    "ORGANISATION_CHUNKS",
     "Sections",
     "assemble_configuration",
     "canonical_bytes",
@@ -21,7 +21,7 @@
     "split_configuration",
 ]
 
-N_CHUNKS = 256
+ORGANISATION_CHUNKS = 256
 """Number of chunks of organisations. Changing it re-sends all of them once."""
 
 _SERVICE = "service"
@@ -54,7 +54,9 @@
     return hashlib.sha256(data).hexdigest()
 
 
-def split_configuration(raw: Mapping[str, Any], n_chunks: int = N_CHUNKS) -> Sections:
+def split_configuration(
+    raw: Mapping[str, Any], n_chunks: int = ORGANISATION_CHUNKS
+) -> Sections:
     """Split the plain JSON values of a configuration into sections.
 
     Parameters
