--- a/src/azurefold/core/attempts/crashes.py
+++ b/src/azurefold/core/attempts/crashes.py
@@ -157,9 +157,11 @@
 
     def count_quarantined(self, now: Millis) -> int:
         """Return the number of requests that are quarantined."""
-        return sum(self.quarantine(each, now) is not None for each in self._suspects)
+        return sum(
+            self.get_quarantine(each, now) is not None for each in self._suspects
+        )
 
-    def note_crash(self, identity: int, endpoint: int, now: Millis) -> None:
+    def record_crash(self, identity: int, endpoint: int, now: Millis) -> None:
         """Note that an endpoint crashed while it was running a request.
 
         Parameters
@@ -176,7 +178,7 @@
             self._mark_changed_locally(suspect, now)
         self._evict(now)
 
-    def note_answer(self, identity: int, now: Millis) -> None:
+    def record_answer(self, identity: int, now: Millis) -> None:
         """Note that a request was answered, which clears its earlier crashes."""
         self._answers[identity] = now
         self._answers.move_to_end(identity)
@@ -210,7 +212,7 @@
         self._evict(now)
         return True
 
-    def quarantine(self, identity: int, now: Millis) -> Quarantine | None:
+    def get_quarantine(self, identity: int, now: Millis) -> Quarantine | None:
         """Return the quarantine of a request, or None if it may be sent."""
         suspect = self._suspects.get(identity)
         if suspect is None:
@@ -224,7 +226,7 @@
             return None
         return Quarantine(len(times), times[self._policy.crash_threshold - 1], until)
 
-    def reports(self) -> dict[int, CrashReport]:
+    def build_reports(self) -> dict[int, CrashReport]:
         """Return the reports for other nodes, most recently changed first."""
         latest = sorted(
             self._suspects.items(), key=lambda item: item[1].changed_at, reverse=True
--- a/src/azurefold/gateway/callers/relay.py
+++ b/src/azurefold/gateway/callers/relay.py
@@ -184,7 +184,7 @@
     def _is_quarantined(self) -> bool:
         """Whether the request is quarantined; if so, log that it is refused."""
         now = self.state.clock.now()
-        quarantine = self.state.crashes.quarantine(self.call.identity, now)
+        quarantine = self.state.crashes.get_quarantine(self.call.identity, now)
         if quarantine is None:
             return False
         log_event(
--- a/src/azurefold/gateway/endpoints/attempt.py
+++ b/src/azurefold/gateway/endpoints/attempt.py
@@ -115,7 +115,9 @@
         entry = self.service.entries.get(self.endpoint)
         if entry is None:
             return NotDispatched("endpoint_gone")
-        if self.state.crashes.quarantine(self.call.identity, self.state.clock.now()):
+        if self.state.crashes.get_quarantine(
+            self.call.identity, self.state.clock.now()
+        ):
             # Endpoints may have crashed while the request was queued.
             return NotDispatched(CRASHES_ENDPOINTS)
         fresh = not self.call.route.is_safe_to_rerun
@@ -246,7 +248,7 @@
         """Note an answer that has come whole, and keep its connection."""
         self._outcome = outcome
         if reply.head.sealed and not reply.head.not_run:
-            self.state.crashes.note_answer(self.call.identity, self.state.clock.now())
+            self.state.crashes.record_answer(self.call.identity, self.state.clock.now())
         if reply.may_reuse:
             links = self.state.links
             links.keep(self.endpoint, self._link, reply.idle_timeout_ms)
--- a/src/azurefold/gateway/peers/exchange.py
+++ b/src/azurefold/gateway/peers/exchange.py
@@ -223,7 +223,7 @@
             self._sent_to_all, self._sent_to_all_at = coordination, now
             self._sent_quotas_at = self._sent_crashes_at = now
         self._sequence += 1
-        crash_beats = self._crashes.next(crashes.reports(), now)
+        crash_beats = self._crashes.next(crashes.build_reports(), now)
         settings = self.state.settings
         message = PeerMessage(
             settings.name,
--- a/src/azurefold/gateway/state.py
+++ b/src/azurefold/gateway/state.py
@@ -288,7 +288,7 @@
         entry : EndpointEntry
         """
         incarnation = endpoint_hash(f"{entry.name}@{entry.started_at_ms}")
-        self.crashes.note_crash(identity, incarnation, self.clock.now())
+        self.crashes.record_crash(identity, incarnation, self.clock.now())
         self.demand_changed.set()
 
     def endpoint_restarted(self, name: str) -> None:
--- a/tests/core/attempts/test_crashes.py
+++ b/tests/core/attempts/test_crashes.py
@@ -20,32 +20,32 @@
 
 def crash(tracker, *times, identity=CRASHING):
     for endpoint, now in enumerate(times):
-        tracker.note_crash(identity, endpoint, now)
+        tracker.record_crash(identity, endpoint, now)
 
 
 def test_a_single_crash_does_not_quarantine(tracker):
     crash(tracker, 1_000)
-    assert tracker.quarantine(CRASHING, 1_001) is None
+    assert tracker.get_quarantine(CRASHING, 1_001) is None
 
 
 def test_a_second_crash_quarantines(tracker):
     crash(tracker, 1_000, 1_200)
-    quarantine = tracker.quarantine(CRASHING, 1_300)
+    quarantine = tracker.get_quarantine(CRASHING, 1_300)
     assert (quarantine.crashes, quarantine.since) == (2, 1_200)
-    assert tracker.quarantine(OTHER, 1_300) is None
+    assert tracker.get_quarantine(OTHER, 1_300) is None
 
 
 def test_a_crash_reported_by_two_nodes_counts_once(tracker):
     """Guards against refusing a popular request for a single crash."""
     crash(tracker, 1_000)
     tracker.merge(CRASHING, CrashReport({0: 1_040}), 1_050)
-    assert tracker.quarantine(CRASHING, 1_100) is None
+    assert tracker.get_quarantine(CRASHING, 1_100) is None
 
 
 def test_crashes_at_different_nodes_add_up(tracker):
     crash(tracker, 1_000)
     assert tracker.merge(CRASHING, CrashReport({9: 900}), 1_050)
-    assert tracker.quarantine(CRASHING, 1_100).crashes == 2
+    assert tracker.get_quarantine(CRASHING, 1_100).crashes == 2
     assert not tracker.merge(CRASHING, CrashReport({9: 910}), 1_090)
 
 
@@ -55,35 +55,35 @@
     events = [(1_000, 0), (1_400, 1), (answered, None)]
     for now, endpoint in sorted(events, key=lambda event: event[0]):
         if endpoint is None:
-            tracker.note_answer(CRASHING, now)
+            tracker.record_answer(CRASHING, now)
         else:
-            tracker.note_crash(CRASHING, endpoint, now)
-    assert tracker.quarantine(CRASHING, 2_000) is None
+            tracker.record_crash(CRASHING, endpoint, now)
+    assert tracker.get_quarantine(CRASHING, 2_000) is None
 
 
 def test_an_answer_at_another_node_clears_a_request(tracker):
     other_node = CrashTracker()
-    other_node.note_answer(CRASHING, 500)
+    other_node.record_answer(CRASHING, 500)
     crash(tracker, 1_000, 1_400)
-    other_node.merge(CRASHING, tracker.reports()[CRASHING], 1_450)
+    other_node.merge(CRASHING, tracker.build_reports()[CRASHING], 1_450)
     assert other_node.has_changed_locally_since(1_400)
-    assert tracker.merge(CRASHING, other_node.reports()[CRASHING], 1_500)
-    assert tracker.quarantine(CRASHING, 1_600) is None
+    assert tracker.merge(CRASHING, other_node.build_reports()[CRASHING], 1_500)
+    assert tracker.get_quarantine(CRASHING, 1_600) is None
 
 
 def test_an_old_answer_does_not_clear_a_request(tracker):
     """Guards against ignoring crashes that began with a new release of the endpoint."""
-    tracker.note_answer(CRASHING, 0)
+    tracker.record_answer(CRASHING, 0)
     first_crash = POLICY.answer_validity + 1
     crash(tracker, first_crash, first_crash + 100)
-    assert tracker.quarantine(CRASHING, first_crash + 200) is not None
+    assert tracker.get_quarantine(CRASHING, first_crash + 200) is not None
 
 
 def test_frequent_answers_are_rarely_reported(tracker):
     crash(tracker, 0)
     before = tracker.version
     for now in range(0, 20 * SECOND, 100):
-        tracker.note_answer(CRASHING, now)
+        tracker.record_answer(CRASHING, now)
     assert tracker.version == before + 1
 
 
@@ -96,10 +96,10 @@
         now += pause
         if now > DAY:
             break
-        if tracker.quarantine(CRASHING, now) is None:
+        if tracker.get_quarantine(CRASHING, now) is None:
             sends += crashes >= 3
             crashes += 1
-            tracker.note_crash(CRASHING, crashes, now)
+            tracker.record_crash(CRASHING, crashes, now)
     assert sends <= MAX_SENDS_AFTER_THIRD_CRASH
 
 
@@ -107,32 +107,32 @@
     """Guards against memory use that grows with the number of suspects or answers."""
     crash(tracker, 1_000, 1_100)
     for identity in range(1_000, 1_000 + 4 * POLICY.max_requests):
-        tracker.note_crash(identity, identity, 2_000)
-        tracker.note_answer(10 * identity, 2_000)
+        tracker.record_crash(identity, identity, 2_000)
+        tracker.record_answer(10 * identity, 2_000)
     for identity in range(2 * POLICY.max_answers):
-        tracker.note_answer(identity + 10**6, 2_000)
+        tracker.record_answer(identity + 10**6, 2_000)
     assert tracker.size == POLICY.max_requests
     assert len(tracker._answers) == POLICY.max_answers
-    assert tracker.quarantine(CRASHING, 2_000) is not None
+    assert tracker.get_quarantine(CRASHING, 2_000) is not None
 
 
 def test_suspects_expire(tracker):
     crash(tracker, 0)
-    tracker.note_crash(OTHER, 99, POLICY.suspect_retention)
+    tracker.record_crash(OTHER, 99, POLICY.suspect_retention)
     assert tracker.size == 1
 
 
 def test_crashes_per_request_are_bounded(tracker):
     crash(tracker, *range(0, 100 * SECOND, SECOND))
-    [report] = tracker.reports().values()
+    [report] = tracker.build_reports().values()
     assert len(report.crashes) <= 8
-    assert tracker.quarantine(CRASHING, 100 * SECOND).until >= DAY
+    assert tracker.get_quarantine(CRASHING, 100 * SECOND).until >= DAY
 
 
 def test_reports_of_expired_suspects_are_ignored(tracker):
     """Guards against nodes that add and remove an expired suspect at each report."""
     crash(tracker, 0)
-    report = tracker.reports()[CRASHING]
+    report = tracker.build_reports()[CRASHING]
     other_node = CrashTracker()
     expiry = POLICY.suspect_retention
     for delay in range(0, 10 * SECOND, 100):
@@ -144,6 +144,6 @@
     """Guards against early messages from each node that receives a report."""
     other_node = CrashTracker()
     crash(tracker, 0, 100)
-    assert other_node.merge(CRASHING, tracker.reports()[CRASHING], 150)
+    assert other_node.merge(CRASHING, tracker.build_reports()[CRASHING], 150)
     assert other_node.version == 0
-    assert CRASHING in other_node.reports()
+    assert CRASHING in other_node.build_reports()
--- a/tests/gateway/test_messages_fit_at_any_size.py
+++ b/tests/gateway/test_messages_fit_at_any_size.py
@@ -106,7 +106,7 @@
     )
     for identity in range(40):
         for endpoint in range(8):
-            made.state.crashes.note_crash(2**63 + identity, 2**31 + endpoint, 0)
+            made.state.crashes.record_crash(2**63 + identity, 2**31 + endpoint, 0)
     seconds = 4 + ranks // 100
     messages, _ = made.pass_time(1_000 * seconds)
     assert messages
--- a/tests/gateway/test_requests_that_crash_endpoints.py
+++ b/tests/gateway/test_requests_that_crash_endpoints.py
@@ -113,8 +113,8 @@
     repeat(site, 2)
     for name, gateway in site.by_name.items():
         now = site.time.at
-        identity = next(iter(gateway.state.crashes.reports()))
-        assert gateway.state.crashes.quarantine(identity, now), name
+        identity = next(iter(gateway.state.crashes.build_reports()))
+        assert gateway.state.crashes.get_quarantine(identity, now), name
 
 
 def test_an_answered_request_is_not_refused_for_crashes_of_others(monkeypatch):
@@ -157,8 +157,8 @@
         answers[name] = lambda: closing(503, not_run=True)
     list(relay.run())
     for endpoint in (1, 2):
-        state.crashes.note_crash(relay.call.identity, endpoint, state.clock.now())
-    assert state.crashes.quarantine(relay.call.identity, state.clock.now())
+        state.crashes.record_crash(relay.call.identity, endpoint, state.clock.now())
+    assert state.crashes.get_quarantine(relay.call.identity, state.clock.now())
 
 
 def test_a_queued_request_is_checked_again_before_it_is_sent(monkeypatch):
