--- a/src/azurefold/core/admission/__init__.py
+++ b/src/azurefold/core/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Which request is taken next, and which is refused."""
+"""Admission control: queues requests, limits rates and refuses overload."""
--- a/src/azurefold/core/admission/deficit_round_robin.py
+++ b/src/azurefold/core/admission/deficit_round_robin.py
@@ -1,8 +1,8 @@
 """Deficit round robin over the organisations of one priority class.
 
-Shreedhar and Varghese, "Efficient fair queuing using deficit round robin",
+See Shreedhar and Varghese, "Efficient fair queuing using deficit round robin",
 1996. The quantum is in tokens, so an organisation with long prompts gets no
-more work done than one with short ones.
+more work done than one with short prompts.
 """
 
 from collections import OrderedDict
@@ -15,13 +15,14 @@
 __all__ = ["DeficitRoundRobinQueue"]
 
 
-_MOST_TURNS = 10_000
-"""Organisations whose last turn is remembered; the largest site has 8,200."""
+_MAX_REMEMBERED_TURNS = 10_000
+"""Number of organisations whose last turn is remembered; the largest site has
+8,200 organisations."""
 
 
 @dataclass(slots=True)
-class _Share:
-    """What one organisation has waiting, and the tokens it may still take."""
+class _Backlog:
+    """The waiting requests of one organisation, and its deficit counter."""
 
     items: OrderedDict[str, QueueItem] = field(default_factory=OrderedDict)
     tokens: int = 0
@@ -29,166 +30,177 @@
 
 
 class DeficitRoundRobinQueue:
-    """The waiting requests of one priority class.
+    """The waiting requests of one priority class, served by deficit round robin.
 
     Parameters
     ----------
     quantum : int
-        Tokens an organisation may take in each round.
+        Tokens that an organisation of weight 1 gets in each round.
     """
 
     def __init__(self, quantum: int) -> None:
         self._quantum = quantum
         self._quanta: dict[str, int] = {}
-        self._shares: OrderedDict[str, _Share] = OrderedDict()
+        self._backlogs: OrderedDict[str, _Backlog] = OrderedDict()
         self._length = 0
-        self._tokens = 0
-        self._turn = 0
-        self._turns: dict[str, int] = {}
+        self._total_tokens = 0
+        self._turn_count = 0
+        self._last_turns: dict[str, int] = {}
 
     def __len__(self) -> int:
         return self._length
 
-    def set_weights(self, shares: Mapping[str, float]) -> None:
-        """Take in organisations' weights; one that is not named has 1."""
+    def set_weights(self, weights: Mapping[str, float]) -> None:
+        """Replace the organisations' weights; one that is not named has weight 1."""
         self._quanta = {
-            name: max(1, int(self._quantum * share)) for name, share in shares.items()
+            name: max(1, int(self._quantum * weight))
+            for name, weight in weights.items()
         }
 
     def weight_of(self, organisation: str) -> float:
-        """Return an organisation's weight."""
+        """Return the weight of ``organisation``."""
         return self._quantum_of(organisation) / self._quantum
 
     @property
-    def weight(self) -> float:
-        """The weights of all organisations that have something waiting."""
-        return sum(self.weight_of(organisation) for organisation in self._shares)
+    def total_weight(self) -> float:
+        """Sum of the weights of all organisations with waiting requests."""
+        return sum(self.weight_of(organisation) for organisation in self._backlogs)
 
     @property
-    def tokens(self) -> int:
-        """Tokens that wait in all."""
-        return self._tokens
+    def total_tokens(self) -> int:
+        """Tokens of all waiting requests."""
+        return self._total_tokens
 
     @property
-    def organisations(self) -> int:
-        """Organisations that have something waiting."""
-        return len(self._shares)
+    def organisation_count(self) -> int:
+        """Number of organisations with waiting requests."""
+        return len(self._backlogs)
 
     def length_of(self, organisation: str) -> int:
-        """Return how many requests of ``organisation`` wait."""
-        share = self._shares.get(organisation)
-        return len(share.items) if share else 0
+        """Return the number of waiting requests of ``organisation``."""
+        backlog = self._backlogs.get(organisation)
+        return len(backlog.items) if backlog else 0
 
     def tokens_of(self, organisation: str) -> int:
-        """Return how many tokens of ``organisation`` wait."""
-        share = self._shares.get(organisation)
-        return share.tokens if share else 0
+        """Return the tokens of the waiting requests of ``organisation``."""
+        backlog = self._backlogs.get(organisation)
+        return backlog.tokens if backlog else 0
 
-    def longest(self) -> str | None:
-        """Return the organisation with most requests waiting."""
-        return max(self._shares, key=self.length_of, default=None)
+    def find_longest_backlog(self) -> str | None:
+        """Return the organisation with the most waiting requests."""
+        return max(self._backlogs, key=self.length_of, default=None)
 
     def newest_of(self, organisation: str) -> QueueItem:
-        """Return the request of ``organisation`` that came last."""
-        return next(reversed(self._shares[organisation].items.values()))
+        """Return the request of ``organisation`` that was queued last."""
+        return next(reversed(self._backlogs[organisation].items.values()))
 
     def push(self, item: QueueItem) -> None:
-        """Add a request behind those of its organisation."""
-        share = self._shares.get(item.organisation)
-        if share is None:
-            share = _Share()
-            self._shares[item.organisation] = share
-        share.items[item.request_id] = item
-        share.tokens += item.tokens
+        """Append a request to the backlog of its organisation."""
+        backlog = self._backlogs.get(item.organisation)
+        if backlog is None:
+            backlog = _Backlog()
+            self._backlogs[item.organisation] = backlog
+        backlog.items[item.request_id] = item
+        backlog.tokens += item.tokens
         self._length += 1
-        self._tokens += item.tokens
+        self._total_tokens += item.tokens
 
     def remove(self, item: QueueItem) -> None:
-        """Take out a request wherever it stands."""
-        share = self._shares[item.organisation]
-        del share.items[item.request_id]
-        share.tokens -= item.tokens
+        """Remove a request from any position."""
+        backlog = self._backlogs[item.organisation]
+        del backlog.items[item.request_id]
+        backlog.tokens -= item.tokens
         self._length -= 1
-        self._tokens -= item.tokens
-        # A deficit must not be saved up while nothing waits, or an idle
-        # organisation could later take the whole line for itself.
-        if not share.items:
-            del self._shares[item.organisation]
-
-    def head(self) -> QueueItem | None:
-        """Return the request whose turn it is, which stays where it is."""
-        if not self._shares:
+        self._total_tokens -= item.tokens
+        # The deficit is dropped with the empty backlog. An idle organisation that
+        # kept it could later be served alone for a long time.
+        if not backlog.items:
+            del self._backlogs[item.organisation]
+
+    def peek(self) -> QueueItem | None:
+        """Return the next request without removing it."""
+        if not self._backlogs:
             return None
-        for _ in range(len(self._shares)):
-            if (item := self._front_if_due()) is not None:
+        for _ in range(len(self._backlogs)):
+            if (item := self._visit_next_backlog()) is not None:
                 return item
         self._skip_rounds()
-        while (item := self._front_if_due()) is None:
+        while (item := self._visit_next_backlog()) is None:
             pass
         return item
 
     def oldest(self) -> QueueItem:
         """Return the request that has waited longest."""
-        heads = (next(iter(share.items.values())) for share in self._shares.values())
-        return min(heads, key=lambda item: item.queued_at)
+        first_items = (
+            next(iter(backlog.items.values())) for backlog in self._backlogs.values()
+        )
+        return min(first_items, key=lambda item: item.queued_at)
 
     def pop(self, *, newest: bool = False) -> QueueItem | None:
-        """Take the request whose turn it is.
+        """Remove and return the next request, or ``None`` if none waits.
 
         Parameters
         ----------
         newest : bool, default=False
-            Take the newest of the organisation whose turn it is.
+            Return the newest request of the next organisation instead of its
+            oldest.
         """
-        item = self.head()
+        item = self.peek()
         if item is None:
             return None
         if newest:
             item = self.newest_of(item.organisation)
-        self._shares[item.organisation].deficit -= item.tokens
+        self._backlogs[item.organisation].deficit -= item.tokens
         self.remove(item)
         return item
 
     def pop_on_time(self, now: Millis) -> QueueItem | None:
-        """Take a request whose answer can still be on time, if there is one.
+        """Remove and return a request that can still meet its latency objective.
 
-        Of the organisation whose last one was longest ago; of its requests the
-        newest, which has most time left.
+        Returns ``None`` if there is none. Only the newest request of each
+        organisation is considered, because it has the most time left. The
+        organisation that was served longest ago comes first.
         """
-        newest = map(self.newest_of, self._shares)
-        in_time = [item for item in newest if item.can_be_on_time(now)]
-        if not in_time:
+        newest_items = map(self.newest_of, self._backlogs)
+        on_time_items = [item for item in newest_items if item.can_be_on_time(now)]
+        if not on_time_items:
             return None
-        item = min(in_time, key=lambda item: self._turns.get(item.organisation, 0))
-        self._turn += 1
-        self._turns[item.organisation] = self._turn
-        if len(self._turns) > _MOST_TURNS:
-            self._turns.clear()
-        self._shares[item.organisation].deficit -= item.tokens
+        item = min(
+            on_time_items, key=lambda item: self._last_turns.get(item.organisation, 0)
+        )
+        self._turn_count += 1
+        self._last_turns[item.organisation] = self._turn_count
+        if len(self._last_turns) > _MAX_REMEMBERED_TURNS:
+            self._last_turns.clear()
+        self._backlogs[item.organisation].deficit -= item.tokens
         self.remove(item)
         return item
 
-    def _front_if_due(self) -> QueueItem | None:
-        organisation, share = next(iter(self._shares.items()))
-        item = next(iter(share.items.values()))
-        if share.deficit >= item.tokens:
+    def _visit_next_backlog(self) -> QueueItem | None:
+        """Return the next backlog's first request if its deficit covers the cost.
+
+        Otherwise adds a quantum to the deficit and moves the backlog to the end.
+        """
+        organisation, backlog = next(iter(self._backlogs.items()))
+        item = next(iter(backlog.items.values()))
+        if backlog.deficit >= item.tokens:
             return item
-        share.deficit += self._quantum_of(organisation)
-        self._shares.move_to_end(organisation)
+        backlog.deficit += self._quantum_of(organisation)
+        self._backlogs.move_to_end(organisation)
         return None
 
     def _skip_rounds(self) -> None:
-        # A request of many quanta would otherwise cost as many turns of the
-        # loop in head(); whole rounds that serve nobody are added at once.
+        # Adds all rounds in which nothing is served in one step. Otherwise a
+        # request that costs many quanta would take as many iterations in peek().
         rounds = min(
-            (next(iter(share.items.values())).tokens - share.deficit - 1)
+            (next(iter(backlog.items.values())).tokens - backlog.deficit - 1)
             // self._quantum_of(organisation)
-            for organisation, share in self._shares.items()
+            for organisation, backlog in self._backlogs.items()
         )
         if rounds <= 0:
             return
-        for organisation, share in self._shares.items():
-            share.deficit += rounds * self._quantum_of(organisation)
+        for organisation, backlog in self._backlogs.items():
+            backlog.deficit += rounds * self._quantum_of(organisation)
 
     def _quantum_of(self, organisation: str) -> int:
         return self._quanta.get(organisation, self._quantum)
--- a/src/azurefold/core/admission/drain.py
+++ b/src/azurefold/core/admission/drain.py
@@ -1,4 +1,4 @@
-"""How fast a queue empties, and when a refused caller should come back."""
+"""The drain rate of a queue, and the retry delay of refused callers."""
 
 from math import exp
 
@@ -6,72 +6,85 @@
 
 __all__ = ["DrainRate", "jitter_retry_after"]
 
-_MEMORY: Millis = 4_000
-_LEAST_EVIDENCE = 200.0
-_SHORTEST_RETRY: Millis = 200
-_LONGEST_RETRY: Millis = 30_000
+# Time constant with which earlier observations lose weight.
+_DECAY_TIME_MS: Millis = 4_000
+# No rate is reported for less observed busy time than this.
+_MIN_BUSY_MS = 200.0
+_MIN_RETRY_AFTER_MS: Millis = 200
+_MAX_RETRY_AFTER_MS: Millis = 30_000
 
 
 class DrainRate:
-    """Tokens taken for each millisecond in which something waited.
+    """Tokens dequeued per millisecond while the queue was not empty.
 
-    Time with an empty queue is left out: what leaves then is what arrives,
-    which says nothing of how fast a backlog would go.
+    Time with an empty queue is not counted: the dequeue rate then equals the
+    arrival rate and says nothing about how fast a backlog would drain.
     """
 
     def __init__(self) -> None:
-        self._tokens = 0.0
-        self._busy = 0.0
-        self._since: Millis | None = None
-
-    def waiting(self, now: Millis) -> None:
-        """Note that something waits from now on."""
-        if self._since is None:
-            self._since = now
-
-    def taken(self, tokens: int, now: Millis, *, left: bool) -> None:
-        """Note that work was taken; ``left`` says whether more waits."""
+        self._dequeued_tokens = 0.0
+        self._busy_ms = 0.0
+        self._busy_since: Millis | None = None
+
+    def record_waiting(self, now: Millis) -> None:
+        """Record that at least one request waits from ``now`` on."""
+        if self._busy_since is None:
+            self._busy_since = now
+
+    def record_take(self, tokens: int, now: Millis, *, is_more_waiting: bool) -> None:
+        """Record that a request of ``tokens`` tokens was dequeued.
+
+        Parameters
+        ----------
+        tokens : int
+            Cost of the request.
+        now : int
+            The current time.
+        is_more_waiting : bool
+            Whether requests remain in the queue.
+        """
         self._advance(now)
-        self._tokens += tokens
-        if not left:
-            self._since = None
+        self._dequeued_tokens += tokens
+        if not is_more_waiting:
+            self._busy_since = None
 
-    def emptied(self, now: Millis) -> None:
-        """Note that nothing waits any more, without work having been taken."""
+    def record_empty(self, now: Millis) -> None:
+        """Record that no request waits any more, although none was dequeued."""
         self._advance(now)
-        self._since = None
-
-    def rate(self, now: Millis) -> float | None:
-        """Return tokens a millisecond, or ``None`` while too little was seen."""
-        # The time since the last take counts too. Otherwise a queue whose
-        # drain has stopped would go on promising its old rate.
-        idle = 0 if self._since is None else max(0, now - self._since)
-        busy = self._busy + idle
-        if busy < _LEAST_EVIDENCE:
+        self._busy_since = None
+
+    def compute_rate(self, now: Millis) -> float | None:
+        """Return tokens per millisecond, or ``None`` after too little busy time."""
+        # The time since the last dequeue counts too. Otherwise a queue that no
+        # longer drains would keep reporting its old rate.
+        undecayed_ms = 0 if self._busy_since is None else max(0, now - self._busy_since)
+        busy_ms = self._busy_ms + undecayed_ms
+        if busy_ms < _MIN_BUSY_MS:
             return None
-        return self._tokens / busy
+        return self._dequeued_tokens / busy_ms
 
     def _advance(self, now: Millis) -> None:
-        if self._since is None:
+        if self._busy_since is None:
             return
-        elapsed = max(0, now - self._since)
-        kept = exp(-elapsed / _MEMORY)
-        self._tokens *= kept
-        self._busy = self._busy * kept + elapsed
-        self._since = now
+        elapsed_ms = max(0, now - self._busy_since)
+        decay = exp(-elapsed_ms / _DECAY_TIME_MS)
+        self._dequeued_tokens *= decay
+        self._busy_ms = self._busy_ms * decay + elapsed_ms
+        self._busy_since = now
 
 
-def jitter_retry_after(wait: float, draw: float) -> Millis:
-    """Return when to come back: after the backlog, spread over as long again.
+def jitter_retry_after(wait_ms: float, jitter: float) -> Millis:
+    """Return the milliseconds after which a refused caller should retry.
 
-    Callers told the same moment would come back as one wave.
+    The delay lies between ``wait_ms`` and twice that. Callers with the same delay
+    would all retry at the same time.
 
     Parameters
     ----------
-    wait : float
-        Milliseconds until the present backlog is gone.
-    draw : float
+    wait_ms : float
+        Milliseconds until the current backlog has drained.
+    jitter : float
         Random number in [0, 1).
     """
-    base = min(max(wait, float(_SHORTEST_RETRY)), float(_LONGEST_RETRY))
-    return int(base * (1.0 + draw))
+    base_ms = min(max(wait_ms, float(_MIN_RETRY_AFTER_MS)), float(_MAX_RETRY_AFTER_MS))
+    return int(base_ms * (1.0 + jitter))
--- a/src/azurefold/core/admission/messages.py
+++ b/src/azurefold/core/admission/messages.py
@@ -1,4 +1,4 @@
-"""What waits for admission and what is answered to it."""
+"""Requests that wait for admission, and the results of offering them."""
 
 from dataclasses import dataclass
 from enum import Enum, IntEnum
@@ -17,7 +17,7 @@
 
 
 class Priority(IntEnum):
-    """Classes of requests; the lower number goes first."""
+    """Priority class of a request; a lower number is served first."""
 
     CONFIRMATION = 0
     DRAFT = 1
@@ -25,29 +25,29 @@
 
 @dataclass(frozen=True, slots=True)
 class QueueItem:
-    """A request that waits for an endpoint.
+    """A request to be queued for an endpoint.
 
     Parameters
     ----------
     request_id : str
-        Unique in the queue.
+        Identifier, unique within the queue.
     organisation : str
-        Whose request it is.
+        Organisation that sent the request.
     priority : Priority
-        Its class.
+        Priority class.
     tokens : int
-        Work it stands for: uncached prompt and expected answer tokens.
+        Cost of the request: uncached prompt tokens plus expected answer tokens.
     deadline : int
-        When the caller no longer wants it.
+        Time after which the caller no longer needs the answer.
     expected_service_ms : int, default=0
-        Milliseconds it needs once it is taken.
+        Expected milliseconds from the dispatch to the answer.
     jitter : float, default=0.5
-        Random number in [0, 1) that spreads its ``retry_after_ms``.
+        Random number in [0, 1) that spreads ``retry_after_ms``.
     queued_at : int, default=0
-        When it was queued.
+        Time at which the request was queued.
     latest_on_time_start : int or None
-        The last moment at which it can be taken and its answer still be on time;
-        None if there is no such moment.
+        Latest dispatch time with which the answer still meets its latency
+        objective; None if the request has no such objective.
     """
 
     request_id: str
@@ -62,16 +62,16 @@
 
     @property
     def latest_start(self) -> Millis:
-        """The last moment at which it is worth taking."""
+        """Latest dispatch time with which the request can meet its deadline."""
         return self.deadline - self.expected_service_ms
 
     def can_be_on_time(self, now: Millis) -> bool:
-        """Whether its answer is on time if it is taken now."""
+        """Return whether a dispatch at ``now`` can meet the latency objective."""
         return self.latest_on_time_start is None or now <= self.latest_on_time_start
 
 
 class RefusalReason(Enum):
-    """Why a request was refused; none of them was run."""
+    """Why a request was refused. A refused request was not run."""
 
     DEADLINE = "deadline"
     QUEUE_FULL = "queue_full"
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """The request was not run; its caller may come back after a while."""
+    """The request was not run; the caller may retry after ``retry_after_ms``."""
 
     reason: RefusalReason
     retry_after_ms: Millis
@@ -89,7 +89,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RefusedItem:
-    """A request that had been queued and is now refused."""
+    """A queued request that was refused after all."""
 
     item: QueueItem
     refused: Refused
@@ -97,12 +97,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Queued:
-    """The request waits.
+    """The request was queued.
 
     Parameters
     ----------
     displaced : tuple of RefusedItem, default=()
-        Requests that had to give way and must be answered at once.
+        Requests removed to make room. The caller of the queue must answer
+        them at once.
     """
 
     displaced: tuple[RefusedItem, ...] = ()
--- a/tests/core/admission/test_queue_answers_each_request_once.py
+++ b/tests/core/admission/test_queue_answers_each_request_once.py
@@ -118,7 +118,7 @@
 
     def make_queue(self):
         class Queue(FairQueue):
-            def _sweep(self, now):
+            def _remove_expired(self, now):
                 pass
 
         return Queue(POLICY)
--- a/tests/core/admission/test_queue_is_fair.py
+++ b/tests/core/admission/test_queue_is_fair.py
@@ -40,7 +40,9 @@
     priority; the mutant has no floor.
     """
     assert draft_share(FairQueue(ROOMY), make_item) == pytest.approx(0.1, abs=0.01)
-    strict = QueuePolicy(max_length=5_000, max_per_organisation=2_000, draft_floor=0.0)
+    strict = QueuePolicy(
+        max_length=5_000, max_per_organisation=2_000, min_draft_share=0.0
+    )
     with pytest.raises(AssertionError):
         assert draft_share(FairQueue(strict), make_item) > 0.05
 
@@ -107,7 +109,7 @@
     queue = FairQueue()
     item = make_item()
     queue.offer(item, 0)
-    with pytest.raises(ValueError, match="waits already"):
+    with pytest.raises(ValueError, match="is already queued"):
         queue.offer(item, 0)
 
 
