--- a/bench/limits.py
+++ b/bench/limits.py
@@ -42,10 +42,10 @@
     requests = retries = 0
     for now in range(0, seconds * 1_000, 10):
         requests += 1
-        budget.request_started(now)
+        budget.record_request(now)
         tries = 0
         while random.random() < 1 / 3 and tries < 3:
-            if budgeted and not budget.try_retry(now):
+            if budgeted and not budget.try_acquire(now):
                 break
             tries += 1
         retries += tries
--- a/bench/routing_policies.py
+++ b/bench/routing_policies.py
@@ -172,11 +172,11 @@
 
     def prefix_cached(self, name: str, prefix_hash: int) -> None:
         """Take in a cache event."""
-        self.pool.prefix_cached(name, prefix_hash, self.now)
+        self.pool.record_cached_prefix(name, prefix_hash, self.now)
 
     def prefix_evicted(self, name: str, prefix_hash: int) -> None:
         """Take in the event of an eviction."""
-        self.pool.prefix_evicted(name, prefix_hash)
+        self.pool.record_evicted_prefix(name, prefix_hash)
 
     def _tick(self) -> None:
         if self.now % 1_000 < _TICK:
--- a/src/azurefold/core/routing/choice.py
+++ b/src/azurefold/core/routing/choice.py
@@ -31,23 +31,23 @@
 
     Parameters
     ----------
-    prefill : float
+    prefill_ms_per_token : float
         Milliseconds of prefill for one prompt token that is not cached.
     prefill_weight : float
         Factor for the prefill time, because the rest of the batch waits for it too.
     batch_weight : float
         Share of an answer's duration that a full batch adds, without any queueing.
-    failure_penalty : int
+    failure_penalty_ms : int
         Milliseconds added for an endpoint whose requests all fail.
-    suspicion_penalty : int
+    suspicion_penalty_ms : int
         Milliseconds added for an endpoint whose group is possibly stalled.
     """
 
-    prefill: float = 0.1
+    prefill_ms_per_token: float = 0.1
     prefill_weight: float = 4.0
     batch_weight: float = 0.25
-    failure_penalty: Millis = 4_000
-    suspicion_penalty: Millis = 1_500
+    failure_penalty_ms: Millis = 4_000
+    suspicion_penalty_ms: Millis = 1_500
 
 
 @dataclass(slots=True)
@@ -111,15 +111,20 @@
     queue_ms = answer_ms * max(0.0, fill - 1.0)
     batch_ms = policy.batch_weight * answer_ms * (1.0 + fill)
     prefill_ms = (
-        policy.prefill * uncached_tokens * token_interval / means.token_interval
+        policy.prefill_ms_per_token
+        * uncached_tokens
+        * token_interval
+        / means.token_interval
     )
     prefill_ms *= policy.prefill_weight
     # An endpoint that fails at once is always idle. Without the penalty it would
     # attract most of the traffic until it is ejected.
-    failure_ms = failure_rate * policy.failure_penalty
+    failure_ms = failure_rate * policy.failure_penalty_ms
     # A stalled group accepts requests and refuses them 1.5 s later.
-    stall_ms = policy.suspicion_penalty if endpoint.is_suspected else 0
-    return queue_ms + batch_ms + prefill_ms + failure_ms + stall_ms + endpoint.distance
+    stall_ms = policy.suspicion_penalty_ms if endpoint.is_suspected else 0
+    return (
+        queue_ms + batch_ms + prefill_ms + failure_ms + stall_ms + endpoint.distance_ms
+    )
 
 
 def draw_two(
--- a/src/azurefold/core/routing/concurrency.py
+++ b/src/azurefold/core/routing/concurrency.py
@@ -19,7 +19,7 @@
 
     Parameters
     ----------
-    initial, min_limit, max_limit : int
+    initial_limit, min_limit, max_limit : int
         Requests in flight.
     queue_target_ms : int
         Queueing delay at the endpoint that is accepted.
@@ -27,7 +27,7 @@
         Factor applied to the limit when the target is exceeded.
     """
 
-    initial: int = 16
+    initial_limit: int = 16
     min_limit: int = 1
     max_limit: int = 256
     queue_target_ms: Millis = 600
@@ -50,7 +50,7 @@
     def __init__(self, policy: ConcurrencyPolicy) -> None:
         self._policy = policy
         self._max_limit = policy.max_limit
-        self._limit = float(policy.initial)
+        self._limit = float(policy.initial_limit)
         self._baseline_ms: float | None = None
         self._smoothed_ms = 0.0
         self._next_decrease_at: Millis = 0
@@ -65,7 +65,9 @@
         if max_limit == self._max_limit:
             return
         self._max_limit = max_limit
-        is_unused = self._baseline_ms is None and self._limit >= self._policy.initial
+        is_unused = (
+            self._baseline_ms is None and self._limit >= self._policy.initial_limit
+        )
         self._limit = (
             float(max_limit) if is_unused else min(self._limit, float(max_limit))
         )
--- a/src/azurefold/core/routing/endpoint.py
+++ b/src/azurefold/core/routing/endpoint.py
@@ -9,7 +9,7 @@
 from azurefold.core.routing.concurrency import ConcurrencyLimit
 from azurefold.core.routing.messages import LoadReport, Prefix
 
-__all__ = ["Attempt", "DividedSlots", "Endpoint", "ExchangedLoads", "Sharing"]
+__all__ = ["Attempt", "DividedSlots", "Endpoint", "ExchangedLoads", "SlotSharing"]
 
 _HISTORY_MS: Millis = 10_000
 _MAX_HISTORY_LENGTH = 512
@@ -38,7 +38,7 @@
     extra_requests: int = 0
 
 
-Sharing = DividedSlots | ExchangedLoads
+SlotSharing = DividedSlots | ExchangedLoads
 
 
 @dataclass(slots=True)
@@ -47,7 +47,7 @@
 
     started_at: Millis
     prefixes: tuple[Prefix, ...]
-    prefill: float
+    prefill_ms: float
     first_token_at: Millis | None = None
 
 
@@ -61,9 +61,9 @@
         The endpoint's name.
     concurrency : ConcurrencyLimit
         Limit on this node's requests in flight.
-    sharing : Sharing
+    sharing : SlotSharing
         How nodes share the endpoint's slots.
-    distance : int
+    distance_ms : int
         Milliseconds added to the expected wait, so that nearer endpoints are preferred.
     is_suspected : bool
         Whether the endpoint's group is possibly stalled.
@@ -74,14 +74,14 @@
 
     name: str
     concurrency: ConcurrencyLimit
-    sharing: Sharing = DividedSlots()
-    distance: Millis = 0
+    sharing: SlotSharing = DividedSlots()
+    distance_ms: Millis = 0
     attempts: dict[str, Attempt] = field(default_factory=dict)
     awaiting_first_token: dict[str, Millis] = field(default_factory=dict)
     slot_share: int = _DEFAULT_SLOTS
-    included_room: int = 0
-    included_capacity: int = 0
-    is_included: bool = False
+    counted_room: int = 0
+    counted_capacity: int = 0
+    is_eligible: bool = False
     is_leaving: bool = False
     is_suspected: bool = False
     max_requests: int | None = None
@@ -182,8 +182,8 @@
         self._history = former._history
 
     def record_load(self, report: LoadReport, now: Millis) -> None:
-        """Apply a load report, which was measured ``report.age`` ago."""
-        measured_at = now - report.age
+        """Apply a load report, which was measured ``report.age_ms`` ago."""
+        measured_at = now - report.age_ms
         # An older report may arrive after a newer one.
         if self.measured_at is not None and measured_at < self.measured_at:
             return
--- a/src/azurefold/core/routing/members.py
+++ b/src/azurefold/core/routing/members.py
@@ -4,7 +4,7 @@
 
 from azurefold.core.clock import Millis
 from azurefold.core.routing.concurrency import ConcurrencyLimit, ConcurrencyPolicy
-from azurefold.core.routing.endpoint import DividedSlots, Endpoint, Sharing
+from azurefold.core.routing.endpoint import DividedSlots, Endpoint, SlotSharing
 from azurefold.core.routing.exclusions import Exclusions
 from azurefold.core.routing.messages import LoadReport, Unavailable
 
@@ -24,11 +24,13 @@
     ----------
     policy : ConcurrencyPolicy
         Policy for the concurrency limit of each new endpoint.
-    sharing : Sharing
+    sharing : SlotSharing
         How nodes share the slots of each endpoint.
     """
 
-    def __init__(self, policy: ConcurrencyPolicy, sharing: Sharing = _DIVIDED) -> None:
+    def __init__(
+        self, policy: ConcurrencyPolicy, sharing: SlotSharing = _DIVIDED
+    ) -> None:
         self._policy = policy
         self._sharing = sharing
         self._peer_requests = 0.0
@@ -51,7 +53,7 @@
         removed = sorted(self.by_name.keys() - names)
         for name in removed:
             endpoint = self.by_name.pop(name)
-            endpoint.is_included = False
+            endpoint.is_eligible = False
             if endpoint.attempts:
                 self.former[name] = endpoint
         for name in sorted(names - self.by_name.keys()):
@@ -107,15 +109,15 @@
         """Recompute which endpoints may be chosen, and the totals over them."""
         self.room = self.capacity = 0
         for endpoint in self.by_name.values():
-            endpoint.is_included = False
+            endpoint.is_eligible = False
         self.eligible = [
             endpoint
             for endpoint in self.by_name.values()
             if not endpoint.is_leaving and endpoint.name not in excluded
         ]
         for endpoint in self.eligible:
-            endpoint.is_included = True
-            endpoint.included_room = endpoint.included_capacity = 0
+            endpoint.is_eligible = True
+            endpoint.counted_room = endpoint.counted_capacity = 0
             self.update_totals(endpoint)
 
     def unavailable_reason(
@@ -142,14 +144,14 @@
         """Update the totals after a change of ``endpoint``."""
         # Updated incrementally: with 390 endpoints, computing the totals for each
         # request would take longer than the rest of the routing decision.
-        if not endpoint.is_included:
+        if not endpoint.is_eligible:
             return
         room = endpoint.room
         capacity = endpoint.capacity
-        self.room += room - endpoint.included_room
-        self.capacity += capacity - endpoint.included_capacity
-        endpoint.included_room = room
-        endpoint.included_capacity = capacity
+        self.room += room - endpoint.counted_room
+        self.capacity += capacity - endpoint.counted_capacity
+        endpoint.counted_room = room
+        endpoint.counted_capacity = capacity
 
     def _apply_slots(self, endpoint: Endpoint) -> None:
         if self._slots is not None:
--- a/src/azurefold/core/routing/messages.py
+++ b/src/azurefold/core/routing/messages.py
@@ -105,13 +105,13 @@
         Requests running or waiting in the engine, from all nodes.
     slots : int
         Requests that the engine runs in one batch; 0 if the report does not include it.
-    age : int, default=0
+    age_ms : int, default=0
         Milliseconds between the measurement and its arrival here.
     """
 
     in_flight: int
     slots: int
-    age: Millis = 0
+    age_ms: Millis = 0
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/azurefold/core/routing/peer_loads.py
+++ b/src/azurefold/core/routing/peer_loads.py
@@ -36,7 +36,7 @@
     has_callers : bool
         Whether the node has recently received requests, refused ones included.
     is_waiting : bool
-        Whether requests are queued received_at the node because no endpoint has room.
+        Whether requests are queued at the node because no endpoint has room.
     """
 
     node: str
--- a/src/azurefold/core/routing/policy.py
+++ b/src/azurefold/core/routing/policy.py
@@ -5,7 +5,7 @@
 from azurefold.core.routing.choice import ChoicePolicy
 from azurefold.core.routing.concurrency import ConcurrencyPolicy
 from azurefold.core.routing.ejection import EjectionPolicy
-from azurefold.core.routing.endpoint import DividedSlots, Sharing
+from azurefold.core.routing.endpoint import DividedSlots, SlotSharing
 
 __all__ = ["PoolPolicy"]
 
@@ -17,15 +17,15 @@
     Parameters
     ----------
     choice, concurrency, ejection
-    reserve : float
+    reserved_share : float
         Share of the capacity that is reserved for confirmations, so that they need not
         wait for a slot while drafts overload the pool.
-    sharing : Sharing
+    sharing : SlotSharing
         How nodes share the slots of one endpoint.
     """
 
     choice: ChoicePolicy = field(default_factory=ChoicePolicy)
     concurrency: ConcurrencyPolicy = field(default_factory=ConcurrencyPolicy)
     ejection: EjectionPolicy = field(default_factory=EjectionPolicy)
-    reserve: float = 0.06
-    sharing: Sharing = DividedSlots()
+    reserved_share: float = 0.06
+    sharing: SlotSharing = DividedSlots()
--- a/src/azurefold/core/routing/pool.py
+++ b/src/azurefold/core/routing/pool.py
@@ -100,7 +100,7 @@
         known = self._members.by_name.get(endpoint)
         if known is None or endpoint in request.exclude:
             return False
-        return known.is_included and known.has_room
+        return known.is_eligible and known.has_room
 
     def _quota_retry_after(self, draw: float) -> Millis:
         """Return a randomised delay after which some quota may be available."""
@@ -121,8 +121,8 @@
             return
         cached = self._hints.cached_tokens(endpoint, request.prefixes, now)
         uncached = max(0, request.prompt_tokens - cached)
-        prefill = uncached * self._policy.choice.prefill
-        known.add_attempt(attempt_id, Attempt(now, request.prefixes, prefill))
+        prefill_ms = uncached * self._policy.choice.prefill_ms_per_token
+        known.add_attempt(attempt_id, Attempt(now, request.prefixes, prefill_ms))
         self._members.update_totals(known)
         if self._quotas.charge_request(endpoint, now):
             self._refresh(now)
@@ -137,7 +137,7 @@
         known.awaiting_first_token.pop(attempt_id, None)
         known.last_progress_at = now
         known.concurrency.observe_first_token(
-            now - attempt.started_at, attempt.prefill, known.in_flight, now
+            now - attempt.started_at, attempt.prefill_ms, known.in_flight, now
         )
         self._members.update_totals(known)
         # The endpoint has just computed this prompt; its cache event arrives later.
--- a/src/azurefold/core/routing/pool_state.py
+++ b/src/azurefold/core/routing/pool_state.py
@@ -112,7 +112,7 @@
     def draft_room(self) -> int:
         """Room for drafts, which excludes the reserve for confirmations."""
         capacity = self._members.capacity
-        reserved = min(ceil(self._policy.reserve * capacity), capacity - 1)
+        reserved = min(ceil(self._policy.reserved_share * capacity), capacity - 1)
         # With a capacity of one nothing is reserved, or drafts would wait for ever.
         return self._members.room - max(0, reserved)
 
@@ -132,9 +132,9 @@
         """Set how many requests each endpoint may have from all nodes."""
         self._members.set_slots(slots)
 
-    def set_distance(self, endpoint: str, distance: Millis) -> None:
+    def set_distance(self, endpoint: str, distance_ms: Millis) -> None:
         """Set the milliseconds that are added to the expected wait at ``endpoint``."""
-        self._members.by_name[endpoint].distance = distance
+        self._members.by_name[endpoint].distance_ms = distance_ms
 
     def load_of(self, endpoint: str) -> int:
         """Return the number of this node's attempts in flight at ``endpoint``."""
@@ -154,7 +154,7 @@
             if endpoint.in_flight
         }
 
-    def limit(self, endpoint: str) -> int:
+    def concurrency_limit(self, endpoint: str) -> int:
         """Return this node's concurrency limit at ``endpoint``."""
         return self._members.by_name[endpoint].concurrency.limit
 
@@ -330,12 +330,14 @@
         self._members.record_load(known, report, now)
         self._means.peer_requests = self._members.mean_peer_requests
 
-    def prefix_cached(self, endpoint: str, prefix_hash: int, now: Millis) -> None:
+    def record_cached_prefix(
+        self, endpoint: str, prefix_hash: int, now: Millis
+    ) -> None:
         """Record that an endpoint has cached a prefix."""
         if endpoint in self._members.by_name:
             self._hints.add(endpoint, prefix_hash, now)
 
-    def prefix_evicted(self, endpoint: str, prefix_hash: int) -> None:
+    def record_evicted_prefix(self, endpoint: str, prefix_hash: int) -> None:
         """Record that an endpoint has evicted a prefix."""
         self._hints.remove(endpoint, prefix_hash)
 
@@ -350,7 +352,7 @@
     def _refresh(self, now: Millis) -> None:
         for name in self._exclusions.readmit_due(now):
             self._members.by_name[name].last_progress_at = now
-        self._exclusions.over_quota = self._quotas.closed_until(now)
+        self._exclusions.over_quota = self._quotas.recheck_times(now)
         self._exclusions.backing_off = {
             name: until
             for name, until in self._backoffs.active(now).items()
--- a/src/azurefold/core/routing/quota_sharers.py
+++ b/src/azurefold/core/routing/quota_sharers.py
@@ -24,17 +24,17 @@
         This node.
     nodes : frozenset of str
         Nodes of the cell that are live and have callers.
-    cell, cells : int
+    cell_number, cell_count : int
         Number of this cell, and number of all cells.
-    is_divided : bool
+    is_partitioned : bool
         Whether each endpoint gets requests from one cell only.
     """
 
     node: str = ""
     nodes: frozenset[str] = frozenset()
-    cell: int = 0
-    cells: int = 1
-    is_divided: bool = False
+    cell_number: int = 0
+    cell_count: int = 1
+    is_partitioned: bool = False
 
     def holders(self, endpoint: str, rate: float, rotation: int = 0) -> frozenset[str]:
         """Return the nodes that hold a share of an endpoint's quota.
@@ -60,10 +60,12 @@
         )
 
     def _is_of_this_cell(self, endpoint: str) -> bool:
-        if self.is_divided or self.cells <= 1:
+        if self.is_partitioned or self.cell_count <= 1:
             return True
-        cells = range(self.cells)
-        return self.cell == min(cells, key=lambda cell: _rank_key(endpoint, str(cell)))
+        cells = range(self.cell_count)
+        return self.cell_number == min(
+            cells, key=lambda cell: _rank_key(endpoint, str(cell))
+        )
 
 
 def _rank_key(endpoint: str, sharer: str) -> bytes:
--- a/src/azurefold/core/routing/quotas.py
+++ b/src/azurefold/core/routing/quotas.py
@@ -169,7 +169,7 @@
         known.credit -= 1.0
         return True
 
-    def closed_until(self, now: Millis) -> dict[str, Millis]:
+    def recheck_times(self, now: Millis) -> dict[str, Millis]:
         """Return when to check again each endpoint that may get no request now."""
         self._assign_shares(now)
         open_times = {
--- a/src/azurefold/core/routing/retries.py
+++ b/src/azurefold/core/routing/retries.py
@@ -44,14 +44,14 @@
 
     Parameters
     ----------
-    share : float
+    retries_per_request : float
         Retries allowed per request.
-    window : int
+    window_ms : int
         Length in milliseconds of the windows for which the limit holds.
     """
 
-    share: float = 0.08
-    window: Millis = 10_000
+    retries_per_request: float = 0.08
+    window_ms: Millis = 10_000
 
 
 class RetryAllowance:
@@ -80,12 +80,12 @@
         self._settling_ms = settling_ms
         self._history = deque([(now, retries)])
 
-    def set(self, retries: float, now: Millis) -> None:
+    def set_retries(self, retries: float, now: Millis) -> None:
         """Change the allowance."""
         if retries != self._history[-1][1]:
             self._history.append((now, retries))
 
-    def at(self, now: Millis) -> float:
+    def effective_retries(self, now: Millis) -> float:
         """Return the smallest allowance that applied within the settling time."""
         while len(self._history) > 1 and self._history[1][0] <= now - self._settling_ms:
             self._history.popleft()
@@ -117,11 +117,11 @@
         """Change the size of the budget."""
         self._policy = policy
 
-    def request_started(self, now: Millis) -> None:
+    def record_request(self, now: Millis) -> None:
         """Count the first attempt of a request."""
         self._requests.add(now // _STEP_MS, self._first_needed_step(now))
 
-    def left(self, now: Millis) -> float:
+    def retries_left(self, now: Millis) -> float:
         """Return how many retries the budget allows now.
 
         This is the smallest number left in any window that can contain ``now``: from
@@ -134,7 +134,7 @@
         two counts. Counting the requests of the window up to now instead would add up
         to twice the load when callers move from one node to another.
         """
-        window = self._policy.window // _STEP_MS
+        window = self._policy.window_ms // _STEP_MS
         half = window // 2
         current_step = now // _STEP_MS
         first_step = self._first_needed_step(now)
@@ -153,23 +153,23 @@
             retries[:window_count],
             strict=False,
         )
-        half_share = self._policy.share / 2
+        half_ratio = self._policy.retries_per_request / 2
         smallest = min(
-            half_share * (end - start + earlier_end - earlier_start) + retries_before
+            half_ratio * (end - start + earlier_end - earlier_start) + retries_before
             for start, end, earlier_start, earlier_end, retries_before in windows
         )
-        return max(0.0, smallest - retries[-1] + self._allowance.at(now))
+        return max(0.0, smallest - retries[-1] + self._allowance.effective_retries(now))
 
-    def try_retry(self, now: Millis) -> bool:
+    def try_acquire(self, now: Millis) -> bool:
         """Take one retry from the budget; return whether one was left."""
-        if self.left(now) < 1.0:
+        if self.retries_left(now) < 1.0:
             return False
         self._retries.add(now // _STEP_MS, self._first_needed_step(now))
         return True
 
     def _first_needed_step(self, now: Millis) -> int:
         """Return the first step that any window containing ``now`` depends on."""
-        window = self._policy.window // _STEP_MS
+        window = self._policy.window_ms // _STEP_MS
         return now // _STEP_MS - window - _DELIVERY_STEPS - window // 2
 
 
--- a/src/azurefold/entry/admission.py
+++ b/src/azurefold/entry/admission.py
@@ -147,7 +147,7 @@
         """
         now = self.clock.now()
         if not ticket.awaits_group:
-            self.retries.request_started(now)
+            self.retries.record_request(now)
         answer = None if self._waiting else self._straight_through(ticket, now)
         if answer is None:
             answer = self._wait(ticket, now)
@@ -159,7 +159,7 @@
 
     def try_out(self, ticket: Ticket, endpoint: str) -> Chosen:
         """Send a request to an endpoint that others are kept from."""
-        self.retries.request_started(self.clock.now())
+        self.retries.record_request(self.clock.now())
         return self._granted(ticket, Chosen(endpoint))
 
     def pause(self) -> None:
@@ -202,7 +202,7 @@
 
     def try_retry(self) -> bool:
         """Take one retry out of the budget, if it has one left."""
-        allowed = self.retries.try_retry(self.clock.now())
+        allowed = self.retries.try_acquire(self.clock.now())
         if allowed:
             self.seen.retries["made"] += 1
         else:
--- a/src/azurefold/entry/decisions.py
+++ b/src/azurefold/entry/decisions.py
@@ -107,7 +107,7 @@
             services,
             "azurefold_entry_retry_budget",
             "Retries that the budget would pay for now",
-            lambda admission: admission.retries.left(now),
+            lambda admission: admission.retries.retries_left(now),
         )
 
 
--- a/src/azurefold/gateway/callers/relay.py
+++ b/src/azurefold/gateway/callers/relay.py
@@ -235,7 +235,7 @@
 
     def _may_retry(self) -> bool:
         now = self.state.clock.now()
-        budget_left = self.service.admission.retries.left(now)
+        budget_left = self.service.admission.retries.retries_left(now)
         denial = self._retry_denial(budget_left)
         if denial is _RetryDenial.BUDGET_SPENT:
             self.service.admission.deny_retry()
--- a/src/azurefold/gateway/metrics.py
+++ b/src/azurefold/gateway/metrics.py
@@ -127,7 +127,7 @@
         )
         now = self._state.clock.now()
         for name, service in self._state.services.items():
-            family.add_metric([name], service.admission.retries.left(now))
+            family.add_metric([name], service.admission.retries.retries_left(now))
         return family
 
 
--- a/src/azurefold/gateway/service_state.py
+++ b/src/azurefold/gateway/service_state.py
@@ -353,7 +353,7 @@
     retries: RetryBudget,
 ) -> GatewayService:
     """Return a service that has no endpoints yet."""
-    pool = Pool(PoolPolicy(reserve=0.0, sharing=ExchangedLoads(_BEYOND_SLOTS)))
+    pool = Pool(PoolPolicy(reserved_share=0.0, sharing=ExchangedLoads(_BEYOND_SLOTS)))
     admission = Admission(
         clock,
         random.Random(seed),
--- a/src/azurefold/gateway/state.py
+++ b/src/azurefold/gateway/state.py
@@ -401,7 +401,7 @@
 
     def _set_retry_part(self) -> None:
         part = self.settings.retry_slack / self.nodes
-        self.retry_part.set(part, self.clock.now())
+        self.retry_part.set_retries(part, self.clock.now())
 
     def _configure(self, view) -> None:
         known = self.services.get(view.name)
--- a/tests/core/routing/test_ejection.py
+++ b/tests/core/routing/test_ejection.py
@@ -94,7 +94,7 @@
     assert (ejected.endpoint, ejected.cause) == (names[0], EjectionCause.SLOW)
     assert pool.tick(ejected.until) == ()
     assert pool.ejected == frozenset()
-    assert pool.limit(names[0]) == 1
+    assert pool.concurrency_limit(names[0]) == 1
 
 
 def test_busy_endpoint_that_answers_is_not_stuck(pool, names):
--- a/tests/core/routing/test_exchanged_loads.py
+++ b/tests/core/routing/test_exchanged_loads.py
@@ -19,7 +19,9 @@
 
 @pytest.fixture
 def pool():
-    pool = Pool(PoolPolicy(reserve=0.0, sharing=ExchangedLoads(extra_requests=1)))
+    pool = Pool(
+        PoolPolicy(reserved_share=0.0, sharing=ExchangedLoads(extra_requests=1))
+    )
     pool.set_endpoints(["a", "b", "c"], now=0)
     pool.set_slots(SLOTS)
     return pool
--- a/tests/core/routing/test_pass_limit.py
+++ b/tests/core/routing/test_pass_limit.py
@@ -93,7 +93,7 @@
 
 @pytest.fixture
 def pool():
-    pool = Pool(PoolPolicy(reserve=0.0, sharing=ExchangedLoads(1)))
+    pool = Pool(PoolPolicy(reserved_share=0.0, sharing=ExchangedLoads(1)))
     pool.set_endpoints(("a", "b", "c", "d"), now=0)
     pool.set_slots(SLOTS)
     return pool
--- a/tests/core/routing/test_pool_choice.py
+++ b/tests/core/routing/test_pool_choice.py
@@ -52,15 +52,15 @@
     pool_of_two = Pool()
     pool_of_two.set_endpoints(names[:2], 0)
     start_attempts(pool_of_two, names[0], 10, now=1_000)
-    pool_of_two.record_load(names[0], LoadReport(10, 16, age=1_500), 3_000)
+    pool_of_two.record_load(names[0], LoadReport(10, 16, age_ms=1_500), 3_000)
     start_attempts(pool_of_two, names[1], 11, now=3_000)
     pool_of_two.record_load(names[1], LoadReport(11, 16), 3_000)
     assert count_choices(pool_of_two, 3_000)[names[0]] == 400
 
 
 def test_outdated_report_is_ignored(pool, names):
-    pool.record_load(names[0], LoadReport(0, 16, age=0), 2_000)
-    pool.record_load(names[0], LoadReport(40, 16, age=1_500), 2_001)
+    pool.record_load(names[0], LoadReport(0, 16, age_ms=0), 2_000)
+    pool.record_load(names[0], LoadReport(40, 16, age_ms=1_500), 2_001)
     assert count_choices(pool, 2_001)[names[0]] > 0
 
 
@@ -92,7 +92,7 @@
 
 def test_endpoint_with_a_cached_prefix_is_preferred_until_full(pool, names):
     request = RouteRequest((Prefix(9, 800),), 1_000)
-    pool.prefix_cached(names[3], 9, 0)
+    pool.record_cached_prefix(names[3], 9, 0)
     assert count_choices(pool, 0, request)[names[3]] == 400
     start_attempts(pool, names[3], 16)
     assert count_choices(pool, 0, request)[names[3]] == 0
@@ -108,10 +108,10 @@
 
 def test_prefix_hints_expire_and_evictions_remove_them(pool, names):
     request = RouteRequest((Prefix(9, 800),), 1_000)
-    pool.prefix_cached(names[3], 9, 0)
+    pool.record_cached_prefix(names[3], 9, 0)
     assert pool.choose(request, (0.0, 0.1), 60_000).cached_tokens == 0
-    pool.prefix_cached(names[3], 9, 60_000)
-    pool.prefix_evicted(names[3], 9)
+    pool.record_cached_prefix(names[3], 9, 60_000)
+    pool.record_evicted_prefix(names[3], 9)
     assert pool.choose(request, (0.0, 0.1), 60_001).cached_tokens == 0
 
 
--- a/tests/core/routing/test_pool_invariants.py
+++ b/tests/core/routing/test_pool_invariants.py
@@ -91,7 +91,7 @@
         assert name not in exclude
         assert name not in self.pool.ejected
         in_flight = sum(1 for endpoint in self.attempts.values() if endpoint == name)
-        assert in_flight < self.pool.limit(name)
+        assert in_flight < self.pool.concurrency_limit(name)
         self.attempt_count += 1
         self.attempts[str(self.attempt_count)] = name
         self.pool.record_start(name, str(self.attempt_count), self.now, request)
--- a/tests/core/routing/test_quotas.py
+++ b/tests/core/routing/test_quotas.py
@@ -42,7 +42,7 @@
             self.now += STEP_MS
             for name, quotas_of_node in self.quotas.items():
                 quotas_of_node.record_answer(OVERLOADED, self.rate, self.now, self.now)
-                if not quotas_of_node.closed_until(self.now):
+                if not quotas_of_node.recheck_times(self.now):
                     quotas_of_node.charge_request(OVERLOADED, self.now)
                     self.arrivals.append((self.now, name))
 
--- a/tests/core/routing/test_resumed_attempts_may_queue.py
+++ b/tests/core/routing/test_resumed_attempts_may_queue.py
@@ -13,7 +13,7 @@
 @pytest.fixture
 def full_pool():
     """Return a pool of two full endpoints, of which "a" has the smaller load."""
-    pool = Pool(PoolPolicy(reserve=0.0, sharing=ExchangedLoads(0)))
+    pool = Pool(PoolPolicy(reserved_share=0.0, sharing=ExchangedLoads(0)))
     pool.set_endpoints(["a", "b"], now=0)
     pool.set_slots(2)
     for number in range(2):
--- a/tests/core/routing/test_retry_budget.py
+++ b/tests/core/routing/test_retry_budget.py
@@ -15,8 +15,8 @@
     retries = 0
     for number in range(6_000):
         now = number * 10
-        budget.request_started(now)
-        while random.random() < 1 / 3 and budget.try_retry(now):
+        budget.record_request(now)
+        while random.random() < 1 / 3 and budget.try_acquire(now):
             retries += 1
     return retries / 6_000
 
@@ -29,15 +29,15 @@
     """
     assert retry_ratio(RetryBudget()) < 0.10
     with pytest.raises(AssertionError):
-        assert retry_ratio(RetryBudget(RetryPolicy(share=10.0))) < 0.10
+        assert retry_ratio(RetryBudget(RetryPolicy(retries_per_request=10.0))) < 0.10
 
 
 def test_node_with_few_requests_can_retry():
     budget = RetryBudget()
-    assert budget.try_retry(0)
-    assert budget.try_retry(0)
-    assert not budget.try_retry(0)
-    assert budget.try_retry(20_000)
+    assert budget.try_acquire(0)
+    assert budget.try_acquire(0)
+    assert not budget.try_acquire(0)
+    assert budget.try_acquire(20_000)
 
 
 @given(st.lists(st.tuples(st.integers(0, 500), st.booleans()), max_size=300))
@@ -47,9 +47,9 @@
     for elapsed, is_retry in events:
         now += elapsed
         if is_retry:
-            retries += budget.try_retry(now)
+            retries += budget.try_acquire(now)
         else:
-            budget.request_started(now)
+            budget.record_request(now)
             requests += 1
         assert retries <= 0.08 * requests + 0.2 * (10 + now / 1_000)
 
@@ -66,9 +66,9 @@
     requests, retries = [], []
     for elapsed, retry_attempts in events:
         now += elapsed
-        budget.request_started(now)
+        budget.record_request(now)
         requests.append(now)
-        retries += [now for _ in range(retry_attempts) if budget.try_retry(now)]
+        retries += [now for _ in range(retry_attempts) if budget.try_acquire(now)]
     for start in retries:
         retry_count = sum(start <= at < start + 10_000 for at in retries)
         request_count = max(
@@ -85,5 +85,5 @@
     """
     budget = RetryBudget()
     for now in range(0, 3_600_000, 50):
-        budget.request_started(now)
+        budget.record_request(now)
     assert len(budget._requests._counts) < 200
--- a/tests/gateway/test_places_that_fall_free.py
+++ b/tests/gateway/test_places_that_fall_free.py
@@ -57,7 +57,7 @@
 @pytest.fixture
 def admission(time):
     made = new_admission(manual_clock(time), seed=1)
-    made.pool = Pool(PoolPolicy(reserve=0.0, sharing=ExchangedLoads(0)))
+    made.pool = Pool(PoolPolicy(reserved_share=0.0, sharing=ExchangedLoads(0)))
     made.pool.set_endpoints(["a", "b"], time.at)
     made.pool.set_slots(2)
     return made
--- a/tests/gateway/test_retries_are_charged_once.py
+++ b/tests/gateway/test_retries_are_charged_once.py
@@ -88,7 +88,7 @@
 
 
 def left(state, service):
-    return service.admission.retries.left(state.clock.now())
+    return service.admission.retries.retries_left(state.clock.now())
 
 
 def test_first_attempts_are_not_charged(state, service, send):
@@ -141,6 +141,11 @@
     states = [new_gateway_state(each, manual_clock(time)) for each in (first, settings)]
     for state in states:
         state.set_nodes(9)
-    assert [state.retry_part.at(0) for state in states] == [ALLOWED / 9, 0]
+    assert [state.retry_part.effective_retries(0) for state in states] == [
+        ALLOWED / 9,
+        0,
+    ]
     time.at = 12_000
-    assert [state.retry_part.at(12_000) for state in states] == [ALLOWED / 9] * 2
+    assert [state.retry_part.effective_retries(12_000) for state in states] == [
+        ALLOWED / 9
+    ] * 2
--- a/tests/gateway/test_retries_of_all_gateways_stay_allowed.py
+++ b/tests/gateway/test_retries_of_all_gateways_stay_allowed.py
@@ -43,7 +43,7 @@
     def request(self, gateway, number=1):
         budget = self._admission(gateway).retries
         for _ in range(number):
-            budget.request_started(self.time.at)
+            budget.record_request(self.time.at)
             self.requests.append(self.time.at)
 
     def retry(self, gateway, number=1):
@@ -193,17 +193,23 @@
         )
 
     def left(budget, now):
-        window = budget._policy.window
+        window = budget._policy.window_ms
         requests = decayed(budget._requests, now, window)
         retries = decayed(budget._retries, now, window)
-        return budget._policy.share * requests + budget._allowance.at(now) - retries
+        return (
+            budget._policy.retries_per_request * requests
+            + budget._allowance.effective_retries(now)
+            - retries
+        )
 
-    monkeypatch.setattr(RetryBudget, "left", left)
+    monkeypatch.setattr(RetryBudget, "retries_left", left)
 
 
 def parts_that_grow_at_once(monkeypatch):
     monkeypatch.setattr(
-        RetryAllowance, "at", lambda allowance, now: allowance._history[-1][1]
+        RetryAllowance,
+        "effective_retries",
+        lambda allowance, now: allowance._history[-1][1],
     )
 
 
@@ -211,13 +217,13 @@
     """Count the requests of the window up to now, whatever window is judged."""
 
     def left(budget, now):
-        window = budget._policy.window
+        window = budget._policy.window_ms
         requests = budget._requests.totals((now - window) // 100, now // 100 + 1)
         retries = budget._retries.totals((now - window) // 100, now // 100 + 1)
-        paid = budget._policy.share * requests[-1]
-        return max(0.0, paid + budget._allowance.at(now) - retries[-1])
+        paid = budget._policy.retries_per_request * requests[-1]
+        return max(0.0, paid + budget._allowance.effective_retries(now) - retries[-1])
 
-    monkeypatch.setattr(RetryBudget, "left", left)
+    monkeypatch.setattr(RetryBudget, "retries_left", left)
 
 
 @pytest.mark.parametrize(
