--- a/src/azurefold/core/admission/outage.py
+++ b/src/azurefold/core/admission/outage.py
@@ -1,9 +1,9 @@
-"""What becomes of a request while all groups of its service are down.
+"""Decides whether a request waits while all groups of its service are down.
 
-A group stands still while one of its ranks is cut off or dead, and runs again some
-time after the rank is back. When that will be nobody knows, until all ranks are
-there and the group forms. Callers leave a stream that shows nothing for some two
-seconds, and come back once after a third of the time that they have left, at most.
+A group does not run while one of its ranks is partitioned or has failed, and runs
+again some time after the rank has returned. That time is unknown until all ranks are
+present and the group forms. Callers close a stream without events after about two
+seconds. They retry once, after at most a third of their remaining time.
 """
 
 from dataclasses import dataclass
@@ -18,49 +18,51 @@
     "max_retry_after",
 ]
 
-_LONGEST_WAIT_MS: Millis = 1_200
-"""For a group: callers leave after two seconds without an event, and the first one
-takes some 300 ms from the dispatch, more when all who waited go at once."""
+_MAX_WAIT_MS: Millis = 1_200
+"""Maximum wait for a group. Callers close the stream after two seconds without an
+event, and the first event takes about 300 ms from the dispatch, or longer when all
+waiting requests are dispatched at once."""
 
-_MOST_OF_LEFT = 0.3
-"""Part of the time left that may be spent on waiting: nobody is held to the end."""
+_MAX_WAIT_FRACTION = 0.3
+"""Part of the remaining time that a request may wait, so that none waits until its
+deadline."""
 
-_CAME_BACK_SHARE = 0.8
-"""A caller that has less of the route's time than this share has come back once,
-and most come back no second time."""
+_FIRST_ATTEMPT_MIN_FRACTION = 0.8
+"""A caller whose remaining time is below this part of the route's timeout has retried
+once; most callers do not retry a second time."""
 
-_RETURN_SHARE = 1 / 3
-"""Part of the time left after which callers come back at the latest."""
+_MAX_RETRY_FRACTION = 1 / 3
+"""Part of the remaining time after which callers retry at the latest."""
 
-_LEAST_RETRY_MS: Millis = 100
+_MIN_RETRY_AFTER_MS: Millis = 100
 
 
 @dataclass(frozen=True, slots=True)
 class OutageRequest:
-    """A request that finds all groups down.
+    """The time limits of a request that arrives while all groups are down.
 
     Parameters
     ----------
-    left : int
+    time_left : int
         Milliseconds until its deadline.
     timeout : int
-        Milliseconds that its route allows from a caller's first attempt on.
+        Milliseconds that its route allows, counted from the caller's first attempt.
     """
 
-    left: Millis
+    time_left: Millis
     timeout: Millis
 
 
 @dataclass(frozen=True, slots=True)
 class WaitForGroup:
-    """Let it wait for a group, for so many milliseconds at most."""
+    """Let the request wait for a group, for at most ``max_wait`` milliseconds."""
 
     max_wait: Millis
 
 
 @dataclass(frozen=True, slots=True)
 class RefuseRequest:
-    """Refuse it now; it has not run and may come back."""
+    """Refuse the request now; it was not run and the caller may retry."""
 
     retry_after: Millis
 
@@ -68,50 +70,51 @@
 def decide_during_outage(
     request: OutageRequest, group_ready_in: Millis | None
 ) -> WaitForGroup | RefuseRequest:
-    """Decide about a request while all groups are down.
+    """Decide whether a request waits or is refused while all groups are down.
 
-    Who comes for the first time is refused at once and told to come back as late as
-    callers do: most outages last longer than anyone may wait. Who has come back has
-    no other chance than to wait a little. While a group forms it is known to run
-    within the wait, so everybody waits for it.
+    A first attempt is refused at once, with the longest retry delay that callers
+    accept, because most outages last longer than a request may wait. A repeated
+    attempt waits for a short time, because its caller will probably not retry again.
+    If a group is forming and will run within the maximum wait, every request waits.
 
     Parameters
     ----------
     request : OutageRequest
+        Time limits of the request.
     group_ready_in : int or None
-        Milliseconds until a group that forms will run; None if none forms.
+        Milliseconds until the group that is forming runs; None if none is forming.
 
     Examples
     --------
-    >>> first_call = OutageRequest(left=8_000, timeout=8_000)
-    >>> decide_during_outage(first_call, group_ready_in=None)
+    >>> first_attempt = OutageRequest(time_left=8_000, timeout=8_000)
+    >>> decide_during_outage(first_attempt, group_ready_in=None)
     RefuseRequest(retry_after=2666)
-    >>> repeat = OutageRequest(left=5_300, timeout=8_000)
-    >>> decide_during_outage(repeat, group_ready_in=None)
+    >>> second_attempt = OutageRequest(time_left=5_300, timeout=8_000)
+    >>> decide_during_outage(second_attempt, group_ready_in=None)
     WaitForGroup(max_wait=1200)
-    >>> decide_during_outage(first_call, group_ready_in=400)
+    >>> decide_during_outage(first_attempt, group_ready_in=400)
     WaitForGroup(max_wait=1200)
     """
-    if group_ready_in is not None and group_ready_in <= _LONGEST_WAIT_MS:
-        return WaitForGroup(_longest_wait(request))
-    if request.left < _CAME_BACK_SHARE * request.timeout:
-        return WaitForGroup(_longest_wait(request))
-    return RefuseRequest(max_retry_after(request.left))
+    if group_ready_in is not None and group_ready_in <= _MAX_WAIT_MS:
+        return WaitForGroup(_compute_max_wait(request))
+    if request.time_left < _FIRST_ATTEMPT_MIN_FRACTION * request.timeout:
+        return WaitForGroup(_compute_max_wait(request))
+    return RefuseRequest(max_retry_after(request.time_left))
 
 
-def _longest_wait(request: OutageRequest) -> Millis:
-    return min(int(request.left * _MOST_OF_LEFT), _LONGEST_WAIT_MS)
+def _compute_max_wait(request: OutageRequest) -> Millis:
+    return min(int(request.time_left * _MAX_WAIT_FRACTION), _MAX_WAIT_MS)
 
 
-def max_retry_after(left: Millis) -> Millis:
-    """Return the longest ``Retry-After`` that a caller heeds.
+def max_retry_after(time_left: Millis) -> Millis:
+    """Return the longest ``Retry-After`` in milliseconds that callers respect.
 
-    What comes back to a group that is still down is refused for good; those that a
-    longer time brings behind the group's return are served.
+    A caller that retries while the group is still down gets its final refusal. A
+    longer delay lets more callers retry after the group runs again.
 
     Parameters
     ----------
-    left : int
+    time_left : int
         Milliseconds until the caller's deadline.
     """
-    return max(_LEAST_RETRY_MS, int(left * _RETURN_SHARE))
+    return max(_MIN_RETRY_AFTER_MS, int(time_left * _MAX_RETRY_FRACTION))
--- a/tests/core/admission/test_organisation_limits.py
+++ b/tests/core/admission/test_organisation_limits.py
@@ -18,7 +18,7 @@
 class OwnWhole(OrganisationLimits):
     """Each node grants the whole limit."""
 
-    def share(self, organisation, now):
+    def compute_share(self, organisation, now):
         return 1.0
 
 
@@ -61,7 +61,7 @@
     for report in [node.build_report(0) for node in nodes]:
         for node in nodes:
             node.receive_report(report, 0)
-    shares = [node.share("a", 0) for node in nodes]
+    shares = [node.compute_share("a", 0) for node in nodes]
     assert sum(shares) == pytest.approx(1.0)
     assert shares[0] > shares[1] > shares[2] > 0.0
 
@@ -72,8 +72,8 @@
     node.try_acquire("a", 50, 0.5, 0)
     node.build_report(0)
     node.receive_report(DemandReport("y", {"a": 1_000.0}), 0)
-    assert node.share("a", 10_000) < 0.2
-    assert node.share("a", 10_001) > 0.9
+    assert node.compute_share("a", 10_000) < 0.2
+    assert node.compute_share("a", 10_001) > 0.9
 
 
 def test_an_organisation_without_a_limit_is_allowed():
