--- a/src/azurefold/core/attempts/crashes.py
+++ b/src/azurefold/core/attempts/crashes.py
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CrashPolicy:
-    """When a request is quarantined and for how long.
+    """Conditions and duration of a quarantine.
 
     Parameters
     ----------
@@ -70,7 +70,7 @@
     Parameters
     ----------
     crashes : mapping of int to int
-        Times of the crashes, by mark of the endpoint's incarnation.
+        Times of the crashes, by hash of the endpoint's incarnation.
     answered_at : int or None
         Time of the last known answer.
     """
@@ -158,28 +158,29 @@
     def count_quarantined(self, now: Millis) -> int:
         """Return the number of requests that are quarantined."""
         return sum(
-            self.get_quarantine(each, now) is not None for each in self._suspects
+            self.get_quarantine(identity, now) is not None
+            for identity in self._suspects
         )
 
     def record_crash(self, identity: int, endpoint: int, now: Millis) -> None:
-        """Note that an endpoint crashed while it was running a request.
+        """Record that an endpoint crashed while it was running a request.
 
         Parameters
         ----------
         identity : int
             Identity of the request.
         endpoint : int
-            Mark of the endpoint's incarnation.
+            Hash of the endpoint's incarnation.
         now : int
         """
-        suspect = self._suspect(identity)
+        suspect = self._get_or_add_suspect(identity)
         suspect.add_answer(self._answers.get(identity), self._policy.answer_validity)
         if suspect.add_crash(endpoint, now, self._policy.max_crashes):
             self._mark_changed_locally(suspect, now)
         self._evict(now)
 
     def record_answer(self, identity: int, now: Millis) -> None:
-        """Note that a request was answered, which clears its earlier crashes."""
+        """Record that a request was answered, which clears its earlier crashes."""
         self._answers[identity] = now
         self._answers.move_to_end(identity)
         if len(self._answers) > self._policy.max_answers:
@@ -254,7 +255,7 @@
         cleared_until = suspect.answered_at + self._policy.answer_validity
         return [at for at in suspect.crashes.values() if at > cleared_until]
 
-    def _suspect(self, identity: int) -> _Suspect:
+    def _get_or_add_suspect(self, identity: int) -> _Suspect:
         known = self._suspects.get(identity)
         if known is None:
             known = self._suspects[identity] = _Suspect()
--- a/src/azurefold/core/attempts/events.py
+++ b/src/azurefold/core/attempts/events.py
@@ -1,8 +1,8 @@
-"""Splitting a stream into whole server-sent events.
+"""Server-sent events of a stream: splitting into complete events, and timing.
 
-Only whole events are passed on. An endpoint may stop in the middle of one, and
-another endpoint that takes the stream up begins with a whole event again; half
-an event before it would join pieces of two runs into one.
+Only complete events are forwarded. An endpoint may fail in the middle of an event,
+and the endpoint that resumes the stream starts with a complete one. If a partial
+event had been forwarded before it, the caller would parse parts of both as one.
 """
 
 from dataclasses import dataclass, field
@@ -12,34 +12,35 @@
 
 __all__ = ["EventTiming", "EventSplitter", "EventGapMonitor"]
 
-_END = b"\n\n"
-_END_WITH_RETURNS = b"\r\n\r\n"
-_ID = b"id:"
+_EVENT_END = b"\n\n"
+_EVENT_END_CRLF = b"\r\n\r\n"
+_ID_FIELD = b"id:"
 
-_RECENT_MS: Millis = 100
-_USUAL_MS: Millis = 1_500
-_LEAST_SPAN_MS: Millis = 4
-_REFRACTORY_MS: Millis = 700
-"""After gaps have grown, until they may be said to have grown again: a map for them
-takes as long to be in force."""
+_RECENT_TIME_CONSTANT_MS: Millis = 100
+_BASELINE_TIME_CONSTANT_MS: Millis = 1_500
+_MIN_ELAPSED_MS: Millis = 4
+_RESET_COOLDOWN_MS: Millis = 700
+"""Time after a reset of the baseline during which no increase is reported. The new
+expert map takes this long to take effect."""
 
-_GROWTH = 1.3
-"""A jump lengthens passes by 1.4 to 2; prompts that are read by 1.2."""
+_MIN_GROWTH_FACTOR = 1.3
+"""A sudden change of expert popularity lengthens passes by a factor of 1.4 to 2,
+the processing of prompts by a factor of 1.2."""
 
-_LEAST_GAP_MS: Millis = 60
-"""Gaps half as long as the 120 ms that callers are promised make nobody late."""
+_LONG_GAP_MS: Millis = 60
+"""Callers are guaranteed gaps of at most 120 ms; half of that delays nobody."""
 
 
 @dataclass(slots=True)
 class EventSplitter:
-    r"""Bytes of a stream that do not make up a whole event yet.
+    r"""Splitter of a byte stream into complete events.
 
     Parameters
     ----------
     last_id : str or None
-        Id of the last whole event, from which the stream can be resumed.
+        Id of the last complete event, from which the stream can be resumed.
     event_count : int
-        Whole events so far.
+        Number of complete events so far.
 
     Examples
     --------
@@ -54,115 +55,120 @@
 
     last_id: str | None = None
     event_count: int = 0
-    _rest: bytearray = field(default_factory=bytearray)
+    _buffer: bytearray = field(default_factory=bytearray)
 
     @property
     def has_partial_event(self) -> bool:
-        """Whether an event has begun and not ended."""
-        return bool(self._rest)
+        """Whether the buffer holds the start of an incomplete event."""
+        return bool(self._buffer)
 
     def feed(self, data: bytes) -> bytes:
-        """Take in bytes and return the events that are now whole."""
-        self._rest += data
-        end = self._end_of_last_event()
+        """Add bytes and return the events that are complete now."""
+        self._buffer += data
+        end = self._find_end_of_last_event()
         if not end:
             return b""
-        whole = bytes(self._rest[:end])
-        del self._rest[:end]
-        self._note_ids(whole)
-        return whole
+        events = bytes(self._buffer[:end])
+        del self._buffer[:end]
+        self._record_events(events)
+        return events
 
     def discard_partial_event(self) -> None:
-        """Forget the event that has begun: its endpoint will not end it."""
-        self._rest.clear()
+        """Discard an incomplete event that its endpoint will not complete."""
+        self._buffer.clear()
 
-    def _end_of_last_event(self) -> int:
-        plain = self._rest.rfind(_END)
-        returns = self._rest.rfind(_END_WITH_RETURNS)
+    def _find_end_of_last_event(self) -> int:
+        lf_index = self._buffer.rfind(_EVENT_END)
+        crlf_index = self._buffer.rfind(_EVENT_END_CRLF)
         ends = (
-            plain + len(_END) if plain >= 0 else 0,
-            returns + len(_END_WITH_RETURNS) if returns >= 0 else 0,
+            lf_index + len(_EVENT_END) if lf_index >= 0 else 0,
+            crlf_index + len(_EVENT_END_CRLF) if crlf_index >= 0 else 0,
         )
         return max(ends)
 
-    def _note_ids(self, whole: bytes) -> None:
-        for line in whole.splitlines():
-            if line.startswith(_ID):
-                self.last_id = line[len(_ID) :].strip().decode("latin-1")
+    def _record_events(self, events: bytes) -> None:
+        for line in events.splitlines():
+            if line.startswith(_ID_FIELD):
+                self.last_id = line[len(_ID_FIELD) :].strip().decode("latin-1")
             elif not line:
                 self.event_count += 1
 
 
 @dataclass(slots=True)
 class EventTiming:
-    """When a stream's events were passed on.
+    """Times at which the events of a stream were forwarded.
 
     Parameters
     ----------
     longest_gap : int
-        Milliseconds between two of them.
+        Longest time between two successive events, in milliseconds.
     """
 
     longest_gap: Millis = 0
-    _first: Millis | None = None
-    _last: Millis = 0
+    _first_at: Millis | None = None
+    _last_at: Millis = 0
 
     def record_events(self, now: Millis) -> Millis | None:
-        """Note that events were passed on; return the gap, None at the first."""
-        if self._first is None:
-            self._first = self._last = now
+        """Record forwarded events; return the gap before them, None for the first."""
+        if self._first_at is None:
+            self._first_at = self._last_at = now
             return None
-        gap = now - self._last
+        gap = now - self._last_at
         self.longest_gap = max(self.longest_gap, gap)
-        self._last = now
+        self._last_at = now
         return gap
 
-    def time_to_first_event(self, began: Millis) -> Millis | None:
-        """Return the time from ``began`` to the first event; None without one.
+    def time_to_first_event(self, started_at: Millis) -> Millis | None:
+        """Return the time from ``started_at`` to the first event, or None without one.
 
         Examples
         --------
-        >>> pace = EventTiming()
+        >>> timing = EventTiming()
         >>> for now in (130, 190, 300):
-        ...     _ = pace.record_events(now)
-        >>> pace.time_to_first_event(100), pace.longest_gap
+        ...     _ = timing.record_events(now)
+        >>> timing.time_to_first_event(100), timing.longest_gap
         (30, 110)
         """
-        return None if self._first is None else self._first - began
+        return None if self._first_at is None else self._first_at - started_at
 
 
 @dataclass(slots=True)
 class EventGapMonitor:
-    """Whether the gaps between streams' events have grown of late.
+    """Detector of a recent increase of the gaps between events of a group's streams.
 
     All ranks of a group compute each pass together, so the gaps of any stream show
-    how long passes take. They grow within a pass or two when popularity jumps away
-    from a map, long before the next sample of counts is due.
+    how long passes take. When expert popularity changes suddenly and no longer suits
+    the map, gaps grow within one or two passes, long before the next sample of
+    request counts.
     """
 
-    _recent: float = 0.0
-    _usual: float = 0.0
-    _at: Millis = 0
-    _settled_at: Millis = 0
+    _recent_gap: float = 0.0
+    _baseline_gap: float = 0.0
+    _observed_at: Millis = 0
+    _baseline_reset_at: Millis = 0
 
     def observe(self, gap: Millis, now: Millis) -> None:
-        """Take in the gap between two events of a stream."""
-        if not self._at:
-            self._recent = self._usual = float(gap)
-        elapsed = max(_LEAST_SPAN_MS, now - self._at)
-        self._at = now
-        self._recent += (1 - exp(-elapsed / _RECENT_MS)) * (gap - self._recent)
-        self._usual += (1 - exp(-elapsed / _USUAL_MS)) * (gap - self._usual)
+        """Update the moving averages with the gap between two events of a stream."""
+        if not self._observed_at:
+            self._recent_gap = self._baseline_gap = float(gap)
+        elapsed = max(_MIN_ELAPSED_MS, now - self._observed_at)
+        self._observed_at = now
+        self._recent_gap += (1 - exp(-elapsed / _RECENT_TIME_CONSTANT_MS)) * (
+            gap - self._recent_gap
+        )
+        self._baseline_gap += (1 - exp(-elapsed / _BASELINE_TIME_CONSTANT_MS)) * (
+            gap - self._baseline_gap
+        )
 
     def has_increased(self, now: Millis) -> bool:
-        """Whether gaps are longer than they were, and long enough to matter."""
-        if now - self._settled_at < _REFRACTORY_MS:
+        """Whether gaps have grown, are long, and no increase was reported recently."""
+        if now - self._baseline_reset_at < _RESET_COOLDOWN_MS:
             return False
-        is_long = self._recent >= _LEAST_GAP_MS
-        return is_long and self._recent > _GROWTH * self._usual
+        is_long = self._recent_gap >= _LONG_GAP_MS
+        return is_long and self._recent_gap > _MIN_GROWTH_FACTOR * self._baseline_gap
 
     def reset_baseline(self, now: Millis) -> None:
-        """Take the present gaps for the usual ones: somebody looks into them."""
+        """Make the recent gaps the baseline once an increase is being handled."""
         if self.has_increased(now):
-            self._usual = self._recent
-            self._settled_at = now
+            self._baseline_gap = self._recent_gap
+            self._baseline_reset_at = now
--- a/src/azurefold/core/attempts/frames.py
+++ b/src/azurefold/core/attempts/frames.py
@@ -165,9 +165,9 @@
             return TextMissing(self.next_offset)
         if end.total < self.next_offset:
             return AnswerCorrupted(
-                f"{self.next_offset} characters came, {end.total} were sent"
+                f"{self.next_offset} characters received, {end.total} sent"
             )
         if self.can_verify_digest and self._sha.hexdigest() != end.digest:
-            return AnswerCorrupted("the digest of the text does not fit")
+            return AnswerCorrupted("the digest of the text does not match")
         self._finished = True
         return AnswerComplete(end.total)
--- a/src/azurefold/core/attempts/ledger.py
+++ b/src/azurefold/core/attempts/ledger.py
@@ -1,8 +1,8 @@
-"""The record that an agent keeps of attempts at its endpoint.
+"""Record of the attempts at an agent's endpoint.
 
-The agent is the only way to its endpoint, so its ledger alone decides whether
-an attempt runs. Every question that an entry can ask has an answer here that
-stays true afterwards.
+Every request reaches an endpoint through its agent, so the agent's ledger alone
+decides whether an attempt runs. Its answers to an entry are final: a later
+message does not make them false.
 """
 
 from collections import OrderedDict
@@ -24,15 +24,15 @@
     "new_ledger",
 ]
 
-_KEPT_TEXT_MS: Millis = 120_000
-_KEPT_ID_MS: Millis = 3_600_000
-# Clocks of VMs differ; ids made this long after the youngest forgotten one are
-# certainly younger than it.
-_CLOCK_SKEW_MS: Millis = 60_000
+_TEXT_RETENTION_MS: Millis = 120_000
+_ID_RETENTION_MS: Millis = 3_600_000
+# The wall clocks of VMs differ. Only an id created more than this long after the
+# newest evicted id was certainly created later.
+_MAX_CLOCK_SKEW_MS: Millis = 60_000
 
 
 class Phase(StrEnum):
-    """How far an attempt has come."""
+    """Phase of an attempt that was accepted."""
 
     RUNNING = "running"
     DONE = "done"
@@ -40,7 +40,7 @@
 
 
 class AttemptRefusalReason(StrEnum):
-    """Why an attempt was refused; each of them means that it was not run."""
+    """Why an attempt was refused. A refused attempt was not run."""
 
     WRONG_INCARNATION = "wrong_incarnation"
     TOMBSTONED = "tombstoned"
@@ -52,31 +52,31 @@
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """The attempt is new and has to be run now."""
+    """The attempt is new; run it now."""
 
 
 @dataclass(frozen=True, slots=True)
 class AlreadyKnown:
-    """The attempt was seen before; attach to it, do not run it again."""
+    """The attempt was accepted before; attach to it and do not run it again."""
 
     phase: Phase
 
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """The attempt was not run, and never will be under this id."""
+    """The attempt was not run. Later dispatches of its id are refused, too."""
 
     reason: AttemptRefusalReason
 
 
 @dataclass(frozen=True, slots=True)
 class NotRun:
-    """The attempt was never run here and from now on never will be."""
+    """The attempt was not run, and every later dispatch of it is refused."""
 
 
 @dataclass(frozen=True, slots=True)
 class OutcomeUnknown:
-    """It may have run in another incarnation, or too long ago to be known."""
+    """The attempt may have run in another incarnation, or its id was evicted."""
 
 
 @dataclass(slots=True)
@@ -87,40 +87,40 @@
 
 @dataclass(slots=True)
 class Ledger:
-    """Attempts seen by one incarnation of an agent.
+    """Attempts dispatched to one incarnation of an agent.
 
     Parameters
     ----------
     incarnation : str
-        Changes with every start of the agent.
+        Incarnation of the agent, which changes whenever it starts.
     max_running : int
-        Attempts that may run at the same time.
+        Maximum number of attempts that run at the same time.
     """
 
     incarnation: str
     max_running: int
     _entries: dict[str, _Entry] = field(default_factory=dict)
-    _settled: OrderedDict[str, Millis] = field(default_factory=OrderedDict)
+    _ended_at: OrderedDict[str, Millis] = field(default_factory=OrderedDict)
     _tombstones: OrderedDict[str, Millis] = field(default_factory=OrderedDict)
-    _forgotten_up_to: Millis = -1
+    _evicted_up_to: Millis = -1
     _running: int = 0
     _is_leaving: bool = False
 
     @property
     def running_count(self) -> int:
-        """Attempts in flight."""
+        """Number of running attempts."""
         return self._running
 
     @property
     def is_leaving(self) -> bool:
-        """Whether new attempts are refused for good."""
+        """Whether new attempts are refused because the endpoint is leaving."""
         return self._is_leaving
 
     def start_leaving(self) -> None:
         """Refuse new attempts from now on.
 
-        The refusal is made here, at the endpoint itself: an entry that has
-        not yet heard of the leaving still cannot bring it new work.
+        The endpoint's own agent refuses them, so that an entry that has not yet
+        received the update cannot start new work at a leaving endpoint.
         """
         self._is_leaving = True
 
@@ -138,13 +138,13 @@
         ----------
         attempt_id : str
         incarnation : str
-            The incarnation of this agent that the entry knows. A request that
-            was held up in the network until after a restart names an old one.
-            The entry may by then have been told that the outcome is unknown
-            or that nothing ran, so running it now would break that word.
+            Last incarnation of this agent that the entry knew. A request that
+            the network delays until after a restart has an old one and is
+            refused: the entry may already have received the answer that the
+            outcome is unknown or that the attempt was not run.
         organisation : str
         remaining_ms : int
-            Time left until the caller's deadline.
+            Milliseconds until the caller's deadline.
         now : int
 
         Returns
@@ -156,7 +156,7 @@
         entry = self._entries.get(attempt_id)
         if entry is not None and entry.organisation == organisation:
             return AlreadyKnown(entry.phase)
-        refusal = self._refusal(attempt_id, incarnation, remaining_ms)
+        refusal = self._find_refusal_reason(attempt_id, incarnation, remaining_ms)
         if entry is not None or refusal is not None:
             self._tombstones[attempt_id] = now
             return Refused(refusal or AttemptRefusalReason.TOMBSTONED)
@@ -167,27 +167,27 @@
     def settle(
         self, attempt_id: str, incarnation: str, organisation: str, now: Millis
     ) -> AlreadyKnown | NotRun | OutcomeUnknown:
-        """Answer whether an attempt ran, and make the answer final.
+        """Return whether an attempt ran, and make the answer final.
 
-        An attempt not seen is tombstoned before ``NotRun`` is said. Without
-        that, its dispatch could still arrive late over the old connection and
-        run after the caller was told that it had not.
+        An unknown attempt is tombstoned before ``NotRun`` is returned.
+        Otherwise a delayed dispatch could arrive over the old connection and run
+        after the caller had received the answer that it did not run.
         """
         entry = self._entries.get(attempt_id)
         if entry is not None and entry.organisation == organisation:
             return AlreadyKnown(entry.phase)
         if attempt_id in self._tombstones:
             return NotRun()
-        if incarnation != self.incarnation or self._may_be_forgotten(attempt_id):
+        if incarnation != self.incarnation or self._may_be_evicted(attempt_id):
             return OutcomeUnknown()
         self._tombstones[attempt_id] = now
         return NotRun()
 
     def get_phase(self, attempt_id: str, organisation: str) -> Phase | None:
-        """Return the phase of an attempt of this organisation, if seen.
+        """Return the phase of an organisation's attempt, or None if it is unknown.
 
-        Answers belong to the organisation that asked for them; to any other
-        an attempt looks as if it had never been seen.
+        An answer is available only to the organisation that requested it. The
+        attempts of other organisations are treated as unknown.
         """
         entry = self._entries.get(attempt_id)
         if entry is None or entry.organisation != organisation:
@@ -195,56 +195,58 @@
         return entry.phase
 
     def adopt(self, attempt_id: str, organisation: str) -> None:
-        """Take over an attempt that the endpoint ran for an older incarnation."""
+        """Add a running attempt that an earlier incarnation of the agent started."""
         self._entries[attempt_id] = _Entry(organisation, Phase.RUNNING)
         self._running += 1
 
     def record_end(self, attempt_id: str, phase: Phase, now: Millis) -> None:
-        """Record that a running attempt is done or has failed."""
+        """Record that a running attempt completed or failed."""
         entry = self._entries[attempt_id]
         if entry.phase is not Phase.RUNNING:
             return
         entry.phase = phase
-        self._settled[attempt_id] = now
+        self._ended_at[attempt_id] = now
         self._running -= 1
 
     def expired_texts(self, now: Millis) -> list[str]:
-        """Return attempts whose text is kept no longer.
+        """Return the ids of ended attempts whose answer text is to be removed.
 
-        Their ids are kept on: without them a repeat of a request that ran
-        would look like one never seen, and would run a second time.
+        The ledger keeps their ids for longer. Without them, a repeated dispatch
+        of an attempt that ran would be accepted as new and run a second time.
         """
-        old = []
-        for attempt_id, settled_at in self._settled.items():
-            if now - settled_at <= _KEPT_TEXT_MS:
+        expired = []
+        for attempt_id, ended_at in self._ended_at.items():
+            if now - ended_at <= _TEXT_RETENTION_MS:
                 break
-            old.append(attempt_id)
-        return old
+            expired.append(attempt_id)
+        return expired
 
     def evict_expired(self, now: Millis) -> None:
-        """Forget ids that are too old to be asked for.
+        """Remove attempt ids whose retention time is over.
 
-        From then on nothing is said of any id as old as those: see
-        :meth:`_may_be_forgotten`.
+        The outcome of an id that is not newer than the removed ones is unknown
+        from then on, because such an id may be one of them.
         """
-        for ids in (self._settled, self._tombstones):
-            while ids and now - next(iter(ids.values())) > _KEPT_ID_MS:
-                attempt_id, _ = ids.popitem(last=False)
+        for times in (self._ended_at, self._tombstones):
+            while times and now - next(iter(times.values())) > _ID_RETENTION_MS:
+                attempt_id, _ = times.popitem(last=False)
                 self._entries.pop(attempt_id, None)
-                minted = attempt_created_at(attempt_id)
-                self._forgotten_up_to = max(self._forgotten_up_to, minted)
+                created_at = attempt_created_at(attempt_id)
+                self._evicted_up_to = max(self._evicted_up_to, created_at)
 
-    def _may_be_forgotten(self, attempt_id: str) -> bool:
-        if self._forgotten_up_to < 0:
+    def _may_be_evicted(self, attempt_id: str) -> bool:
+        if self._evicted_up_to < 0:
             return False
-        return attempt_created_at(attempt_id) <= self._forgotten_up_to + _CLOCK_SKEW_MS
+        return (
+            attempt_created_at(attempt_id) <= self._evicted_up_to + _MAX_CLOCK_SKEW_MS
+        )
 
-    def _refusal(
+    def _find_refusal_reason(
         self, attempt_id: str, incarnation: str, remaining_ms: Millis
     ) -> AttemptRefusalReason | None:
         if incarnation != self.incarnation:
             return AttemptRefusalReason.WRONG_INCARNATION
-        if self._may_be_forgotten(attempt_id):
+        if self._may_be_evicted(attempt_id):
             return AttemptRefusalReason.TOO_OLD
         if self._is_leaving:
             return AttemptRefusalReason.LEAVING
--- a/src/azurefold/core/clock.py
+++ b/src/azurefold/core/clock.py
@@ -1,8 +1,8 @@
-"""Time as the rest of the code sees it: whole milliseconds from a clock.
+"""Clocks with a resolution of whole milliseconds.
 
-Decisions never read a clock themselves; they are given ``now``. The processes
-round them hold a :class:`Clock`, and tests hold a manual one, so that a
-scenario that spans an hour takes no time at all.
+The modules of core never read a clock; the current time is their parameter ``now``.
+Processes read it from a :class:`Clock`. Tests use a manual clock, so that a scenario
+of an hour runs without waiting.
 """
 
 from collections.abc import Callable
@@ -11,55 +11,55 @@
 __all__ = ["Clock", "ManualTime", "Millis", "manual_clock"]
 
 Millis = int
-"""Milliseconds, either a duration or since the clock's own start."""
+"""Duration in milliseconds, or time in milliseconds since the clock's start."""
 
 SECOND: Millis = 1_000
 
 
 @dataclass(frozen=True, slots=True)
 class Clock:
-    """A source of milliseconds that never goes backward.
+    """A monotonic clock with a resolution of one millisecond.
 
     Parameters
     ----------
     read : callable
-        Returns the present time in milliseconds.
+        Returns the current time in milliseconds.
     """
 
     read: Callable[[], Millis]
 
     def now(self) -> Millis:
-        """Return the present time in milliseconds."""
+        """Return the current time in milliseconds."""
         return self.read()
 
 
 @dataclass(slots=True)
 class ManualTime:
-    """Time that moves only when told to.
+    """Time that changes only by :meth:`advance`.
 
     Parameters
     ----------
     at : int, default=0
-        The present time in milliseconds.
+        The current time in milliseconds.
     """
 
     at: Millis = 0
 
     def advance(self, by: Millis) -> None:
-        """Move the time forward by ``by`` milliseconds.
+        """Advance the time by ``by`` milliseconds.
 
         Raises
         ------
         ValueError
-            If ``by`` is negative: no clock of ours goes backward.
+            If ``by`` is negative, because clocks are monotonic.
         """
         if by < 0:
-            raise ValueError(f"a clock cannot go back; advance by >= 0, not {by}")
+            raise ValueError(f"by must not be negative, got {by}; clocks are monotonic")
         self.at += by
 
 
 def manual_clock(time: ManualTime) -> Clock:
-    """Return a clock that shows ``time``.
+    """Return a clock that reads ``time``.
 
     Examples
     --------
--- a/tests/core/attempts/test_at_most_once.py
+++ b/tests/core/attempts/test_at_most_once.py
@@ -1,16 +1,16 @@
-"""A non-idempotent request runs at most once, and "not run" is true."""
+"""Non-idempotent requests run at most once; those reported as not run did not run."""
 
 import pytest
 from hypothesis import Phase, settings
 from hypothesis.stateful import run_state_machine_as_test
-from tests.core.attempts.machine import AtMostOnce
+from tests.core.attempts.at_most_once_machine import AtMostOnceMachine
 
 from azurefold.core.attempts.ledger import Ledger, NotRun
 from azurefold.core.attempts.outcome import RunStatus
 from azurefold.core.attempts.request_state import AgentUnresponsive, RequestState
 
-THOROUGH = settings(max_examples=500, stateful_step_count=30)
-BITE = settings(
+SEARCH_SETTINGS = settings(max_examples=500, stateful_step_count=30)
+FAULT_SEARCH_SETTINGS = settings(
     derandomize=True,
     database=None,
     deadline=None,
@@ -20,111 +20,131 @@
 )
 
 
-def test_nothing_runs_twice_whatever_is_lost_late_or_doubled():
-    # Symptom: a store books twice, or is told "not run" of a booking that was
-    # made. Sequence: dispatches and questions are lost, late, doubled and
-    # reordered, agents restart, keys are repeated at two entries. Cause: any
-    # place where silence is taken for "not run".
-    run_state_machine_as_test(AtMostOnce, settings=THOROUGH)
+def test_no_request_runs_twice_under_message_faults():
+    """Guards against double bookings and false reports of "not run".
 
+    Dispatches and status queries are lost, delayed, duplicated and reordered, agents
+    restart, and keys are repeated at two entries. A missing answer that is treated as
+    "not run" leads to the failure.
+    """
+    run_state_machine_as_test(AtMostOnceMachine, settings=SEARCH_SETTINGS)
 
-def _is_caught(machine):
+
+def _assert_violation_is_found(machine_class):
     with pytest.raises(AssertionError):
-        run_state_machine_as_test(machine, settings=BITE)
+        run_state_machine_as_test(machine_class, settings=FAULT_SEARCH_SETTINGS)
+
+
+def test_reporting_not_run_without_tombstone_is_detected():
+    """Guards against an attempt that runs after "not run" was reported.
 
+    The dispatch is delayed, the connection is abandoned, the status query is answered
+    and then the dispatch arrives, because the answer was not made final.
+    """
 
-def test_an_agent_that_says_not_run_without_a_tombstone_is_caught():
-    # Symptom: "not run" is said, then the booking appears. Sequence: dispatch
-    # held up, connection given up, question answered, dispatch arrives. Cause:
-    # the answer was not made final.
-    class Forgetful(Ledger):
+    class LedgerWithoutTombstones(Ledger):
         def settle(self, attempt_id, incarnation, organisation, now):
             answer = super().settle(attempt_id, incarnation, organisation, now)
             if isinstance(answer, NotRun):
                 self._tombstones.pop(attempt_id, None)
             return answer
 
-    class Machine(AtMostOnce):
+    class Machine(AtMostOnceMachine):
         def make_ledger(self, incarnation):
-            return Forgetful(incarnation, 100)
+            return LedgerWithoutTombstones(incarnation, 100)
 
-    _is_caught(Machine)
+    _assert_violation_is_found(Machine)
 
 
-def test_an_agent_that_takes_dispatches_for_its_predecessor_is_caught():
-    # Symptom: a key runs in two lives of one agent. Sequence: it runs, the
-    # agent dies, the new one is asked about it and says "not run". Cause: the
-    # new one knows nothing of the run and does not look at the incarnation.
-    class AnyIncarnation(Ledger):
+def test_ignoring_the_incarnation_is_detected():
+    """Guards against a key that runs in two incarnations of an agent.
+
+    A request runs and the agent restarts. The new incarnation has no record of the run
+    and answers the status query with "not run" without checking the incarnation.
+    """
+
+    class LedgerIgnoringIncarnation(Ledger):
         def dispatch(self, attempt_id, incarnation, *rest):
             return super().dispatch(attempt_id, self.incarnation, *rest)
 
         def settle(self, attempt_id, incarnation, *rest):
             return super().settle(attempt_id, self.incarnation, *rest)
 
-    class Machine(AtMostOnce):
+    class Machine(AtMostOnceMachine):
         def make_ledger(self, incarnation):
-            return AnyIncarnation(incarnation, 100)
+            return LedgerIgnoringIncarnation(incarnation, 100)
+
+    _assert_violation_is_found(Machine)
 
-    _is_caught(Machine)
 
+def test_reporting_evicted_attempts_as_not_run_is_detected():
+    """Guards against a key that runs again when it is repeated after hours.
 
-def test_an_agent_that_calls_what_it_forgot_not_run_is_caught():
-    # Symptom: a key repeated after hours runs again. Sequence: it runs, its id
-    # is forgotten, the repeat asks about it. Cause: never seen and seen too
-    # long ago look alike.
-    class NoHorizon(Ledger):
-        def _may_be_forgotten(self, attempt_id):
+    The request runs, its id is evicted, and the repeat queries its status. An evicted
+    id is not distinguished from one that was never dispatched.
+    """
+
+    class LedgerIgnoringEviction(Ledger):
+        def _may_be_evicted(self, attempt_id):
             return False
 
-    class Machine(AtMostOnce):
+    class Machine(AtMostOnceMachine):
         def make_ledger(self, incarnation):
-            return NoHorizon(incarnation, 100)
+            return LedgerIgnoringEviction(incarnation, 100)
 
-        def _agent_dispatches(self, message):
-            super()._agent_dispatches(message)
+        def _dispatch_at_agent(self, message):
+            super()._dispatch_at_agent(message)
             for attempt in list(self.ledger._entries):
                 self.ledger.record_end(attempt, "done", self.now)
 
-    _is_caught(Machine)
+    _assert_violation_is_found(Machine)
+
+
+def test_treating_an_unresponsive_agent_as_not_run_is_detected():
+    """Guards against "not run" being reported for a booking that was made.
 
+    The dispatch arrives and every answer is lost. The entry treats the missing answer
+    as proof that the request did not run.
+    """
 
-def test_an_entry_that_takes_silence_for_not_run_is_caught():
-    # Symptom: "not run" is said of a booking that was made. Sequence: the
-    # dispatch arrives, every answer is lost. Cause: no answer is no news.
-    class Hasty(RequestState):
+    class NotRunWhenUnresponsive(RequestState):
         def handle_event(self, event, may_retry):
             if isinstance(event, AgentUnresponsive):
                 return self._not_run("silent", may_retry)
             return super().handle_event(event, may_retry)
 
-    class Machine(AtMostOnce):
-        def make_course(self):
-            return Hasty(is_idempotent=False)
+    class Machine(AtMostOnceMachine):
+        def make_request_state(self):
+            return NotRunWhenUnresponsive(is_idempotent=False)
 
-    _is_caught(Machine)
+    _assert_violation_is_found(Machine)
 
 
-def test_repeated_keys_without_claims_are_caught():
-    # Symptom: two entries given the same key both run it. Sequence: a caller
-    # repeats at a second entry while the first is still at it. Cause: nothing
-    # that both can see says whose the key is.
-    class Machine(AtMostOnce):
+def test_repeated_keys_without_claims_are_detected():
+    """Guards against two entries that both run a request with the same key.
+
+    A caller repeats the request at a second entry while the first is still processing
+    it. Without claims, no shared record names the attempt that may run.
+    """
+
+    class Machine(AtMostOnceMachine):
         use_claims = False
 
-    _is_caught(Machine)
+    _assert_violation_is_found(Machine)
+
 
+def test_refused_retry_keeps_outcome_of_earlier_attempt_unknown():
+    """Guards against "not run" being reported although the first attempt ran.
 
-def test_a_refused_retry_does_not_hide_an_attempt_that_may_have_run():
-    # Symptom: "not run" is said of an idempotent request whose first attempt
-    # ran. Sequence: the first agent dies, the retry finds no free endpoint.
-    # Cause: the refusal is true of the retry, not of the request.
-    course = RequestState(is_idempotent=True)
-    step = course.handle_event(AgentUnresponsive(), lambda: True)
+    The first agent fails and the retry of the idempotent request finds no free
+    endpoint. The refusal applies to the retry only, not to the request.
+    """
+    request_state = RequestState(is_idempotent=True)
+    retry_action = request_state.handle_event(AgentUnresponsive(), lambda: True)
     for _ in range(5):
-        step = course.handle_event(AgentUnresponsive(), lambda: True)
-    refusal = course.handle_event(AgentUnresponsive(), lambda: False)
-    assert step is not None
-    while not hasattr(refusal, "failure"):
-        refusal = course.handle_event(AgentUnresponsive(), lambda: False)
-    assert refusal.failure.ran is RunStatus.UNKNOWN
+        retry_action = request_state.handle_event(AgentUnresponsive(), lambda: True)
+    action = request_state.handle_event(AgentUnresponsive(), lambda: False)
+    assert retry_action is not None
+    while not hasattr(action, "failure"):
+        action = request_state.handle_event(AgentUnresponsive(), lambda: False)
+    assert action.failure.ran is RunStatus.UNKNOWN
