--- a/src/azurefold/agent/runner.py
+++ b/src/azurefold/agent/runner.py
@@ -26,8 +26,8 @@
 from azurefold.core.attempts.ledger import (
     Accepted,
     AlreadyKnown,
+    AttemptPhase,
     Ledger,
-    Phase,
     Refused,
 )
 from azurefold.core.clock import Clock, Millis
@@ -224,7 +224,7 @@
         except StreamBrokeError:
             self._resume(engine, attempt_id, buffer)
         else:
-            self._ended(buffer, Phase.DONE)
+            self._ended(buffer, AttemptPhase.DONE)
 
     def _run(self, call: EndpointCall, buffer: AnswerBuffer) -> None:
         try:
@@ -236,7 +236,7 @@
             log_event(_log, "endpoint_broke", attempt=call.attempt_id, why=error)
             self._after_break(call, buffer)
         else:
-            self._ended(buffer, Phase.DONE)
+            self._ended(buffer, AttemptPhase.DONE)
 
     def _after_break(self, call: EndpointCall, buffer: AnswerBuffer) -> None:
         match self.target:
@@ -257,7 +257,7 @@
                 continue
             except NoSuchStreamError:
                 break
-            self._ended(buffer, Phase.DONE)
+            self._ended(buffer, AttemptPhase.DONE)
             return
         self._fail(buffer, "unknown")
 
@@ -281,7 +281,7 @@
                         raise StreamBrokeError("the endpoint's answer is not whole")
                     return
 
-    def _ended(self, buffer: AnswerBuffer, phase: Phase) -> None:
+    def _ended(self, buffer: AnswerBuffer, phase: AttemptPhase) -> None:
         # An engine ends a cancelled stream like a whole one. Passed on as
         # such, somebody who resumes it would take a part for the whole.
         if buffer.attempt_id in self._cancelled:
@@ -298,8 +298,8 @@
     def _fail(self, buffer: AnswerBuffer, reason: str) -> None:
         self._unread_since.pop(buffer.attempt_id, None)
         self._cancelled.discard(buffer.attempt_id)
-        self.seen.ended[str(Phase.FAILED)] += 1
-        self.ledger.record_end(buffer.attempt_id, Phase.FAILED, self.clock.now())
+        self.seen.ended[str(AttemptPhase.FAILED)] += 1
+        self.ledger.record_end(buffer.attempt_id, AttemptPhase.FAILED, self.clock.now())
         buffer.spoil(reason)
         log_event(_log, "attempt_failed", attempt=buffer.attempt_id, ran=reason)
 
--- a/src/azurefold/core/attempts/crashes.py
+++ b/src/azurefold/core/attempts/crashes.py
@@ -104,7 +104,7 @@
     changed_at: Millis = 0
 
     @property
-    def last_crash(self) -> Millis:
+    def last_crash_at(self) -> Millis:
         return max(self.crashes.values(), default=0)
 
     def add_crash(self, endpoint: int, at: Millis, max_crashes: int) -> bool:
@@ -218,11 +218,11 @@
         suspect = self._suspects.get(identity)
         if suspect is None:
             return None
-        times = sorted(self._counted_crashes(suspect))
+        times = sorted(self._find_counted_crashes(suspect))
         excess = len(times) - self._policy.crash_threshold
         if excess < 0:
             return None
-        until = times[-1] + self._duration(excess)
+        until = times[-1] + self._compute_duration(excess)
         if now >= until:
             return None
         return Quarantine(len(times), times[self._policy.crash_threshold - 1], until)
@@ -241,14 +241,14 @@
         """Whether this node itself observed a crash or an answer after ``then``."""
         return self._local_change_at is not None and self._local_change_at > then
 
-    def _duration(self, excess: int) -> Millis:
+    def _compute_duration(self, excess: int) -> Millis:
         policy = self._policy
         return min(
             policy.initial_duration * policy.backoff_factor**excess,
             policy.max_duration,
         )
 
-    def _counted_crashes(self, suspect: _Suspect) -> list[Millis]:
+    def _find_counted_crashes(self, suspect: _Suspect) -> list[Millis]:
         """Return the times of the crashes that no answer has cleared."""
         if suspect.answered_at is None:
             return list(suspect.crashes.values())
@@ -279,14 +279,14 @@
             del self._suspects[min(self._suspects, key=self._eviction_key)]
 
     def _is_expired(self, suspect: _Suspect, now: Millis) -> bool:
-        return now - suspect.last_crash >= self._retention(suspect)
+        return now - suspect.last_crash_at >= self._compute_retention(suspect)
 
-    def _retention(self, suspect: _Suspect) -> Millis:
+    def _compute_retention(self, suspect: _Suspect) -> Millis:
         policy = self._policy
-        if len(self._counted_crashes(suspect)) >= policy.crash_threshold:
+        if len(self._find_counted_crashes(suspect)) >= policy.crash_threshold:
             return policy.max_duration
         return policy.suspect_retention
 
     def _eviction_key(self, identity: int) -> tuple[int, Millis]:
         suspect = self._suspects[identity]
-        return len(self._counted_crashes(suspect)), suspect.last_crash
+        return len(self._find_counted_crashes(suspect)), suspect.last_crash_at
--- a/src/azurefold/core/attempts/frames.py
+++ b/src/azurefold/core/attempts/frames.py
@@ -129,8 +129,8 @@
     attempt_id: str
     next_offset: int = 0
     can_verify_digest: bool = True
-    _sha: "hashlib._Hash" = field(default_factory=hashlib.sha256)
-    _finished: bool = False
+    _hasher: "hashlib._Hash" = field(default_factory=hashlib.sha256)
+    _is_finished: bool = False
 
     def accept(
         self, frame: Frame | EndFrame
@@ -138,7 +138,7 @@
         """Process one frame and return the result."""
         if frame.attempt_id != self.attempt_id:
             return FrameDropped(DropReason.FOREIGN)
-        if self._finished:
+        if self._is_finished:
             return FrameDropped(DropReason.AFTER_END)
         match frame:
             case Frame():
@@ -154,7 +154,7 @@
         if not new_text:
             return FrameDropped(DropReason.DUPLICATE)
         offset = self.next_offset
-        self._sha.update(new_text.encode())
+        self._hasher.update(new_text.encode())
         self.next_offset += len(new_text)
         return NewText(offset, new_text)
 
@@ -167,7 +167,7 @@
             return AnswerCorrupted(
                 f"{self.next_offset} characters received, {end.total} sent"
             )
-        if self.can_verify_digest and self._sha.hexdigest() != end.digest:
+        if self.can_verify_digest and self._hasher.hexdigest() != end.digest:
             return AnswerCorrupted("the digest of the text does not match")
-        self._finished = True
+        self._is_finished = True
         return AnswerComplete(end.total)
--- a/src/azurefold/core/attempts/ids.py
+++ b/src/azurefold/core/attempts/ids.py
@@ -13,7 +13,7 @@
 ]
 
 _SEPARATOR = "~"
-_PARTS = 4
+_PART_COUNT = 4
 _TIME_DIGITS = 12
 
 
@@ -94,8 +94,8 @@
         If the text has another form.
     """
     parts = text.split(_SEPARATOR)
-    well_formed = len(parts) == _PARTS and all(parts) and parts[3].isdecimal()
-    if not well_formed or len(parts[3]) > 12:
+    is_well_formed = len(parts) == _PART_COUNT and all(parts) and parts[3].isdecimal()
+    if not is_well_formed or len(parts[3]) > 12:
         raise InvalidAnswerIdError(
             "send the id of the last event unchanged, "
             "in the form endpoint~incarnation~attempt~offset"
--- a/src/azurefold/core/attempts/ledger.py
+++ b/src/azurefold/core/attempts/ledger.py
@@ -18,7 +18,7 @@
     "Ledger",
     "NotRun",
     "OutcomeUnknown",
-    "Phase",
+    "AttemptPhase",
     "AttemptRefusalReason",
     "Refused",
     "new_ledger",
@@ -31,8 +31,8 @@
 _MAX_CLOCK_SKEW_MS: Millis = 60_000
 
 
-class Phase(StrEnum):
-    """Phase of an attempt that was accepted."""
+class AttemptPhase(StrEnum):
+    """Phase of an accepted attempt."""
 
     RUNNING = "running"
     DONE = "done"
@@ -59,7 +59,7 @@
 class AlreadyKnown:
     """The attempt was accepted before; attach to it and do not run it again."""
 
-    phase: Phase
+    phase: AttemptPhase
 
 
 @dataclass(frozen=True, slots=True)
@@ -82,7 +82,7 @@
 @dataclass(slots=True)
 class _Entry:
     organisation: str
-    phase: Phase
+    phase: AttemptPhase
 
 
 @dataclass(slots=True)
@@ -160,7 +160,7 @@
         if entry is not None or refusal is not None:
             self._tombstones[attempt_id] = now
             return Refused(refusal or AttemptRefusalReason.TOMBSTONED)
-        self._entries[attempt_id] = _Entry(organisation, Phase.RUNNING)
+        self._entries[attempt_id] = _Entry(organisation, AttemptPhase.RUNNING)
         self._running += 1
         return Accepted()
 
@@ -183,7 +183,7 @@
         self._tombstones[attempt_id] = now
         return NotRun()
 
-    def get_phase(self, attempt_id: str, organisation: str) -> Phase | None:
+    def get_phase(self, attempt_id: str, organisation: str) -> AttemptPhase | None:
         """Return the phase of an organisation's attempt, or None if it is unknown.
 
         An answer is available only to the organisation that requested it. The
@@ -196,13 +196,13 @@
 
     def adopt(self, attempt_id: str, organisation: str) -> None:
         """Add a running attempt that an earlier incarnation of the agent started."""
-        self._entries[attempt_id] = _Entry(organisation, Phase.RUNNING)
+        self._entries[attempt_id] = _Entry(organisation, AttemptPhase.RUNNING)
         self._running += 1
 
-    def record_end(self, attempt_id: str, phase: Phase, now: Millis) -> None:
+    def record_end(self, attempt_id: str, phase: AttemptPhase, now: Millis) -> None:
         """Record that a running attempt completed or failed."""
         entry = self._entries[attempt_id]
-        if entry.phase is not Phase.RUNNING:
+        if entry.phase is not AttemptPhase.RUNNING:
             return
         entry.phase = phase
         self._ended_at[attempt_id] = now
--- a/src/azurefold/core/attempts/request_state.py
+++ b/src/azurefold/core/attempts/request_state.py
@@ -68,7 +68,7 @@
 class StatusReported:
     """The agent reported the attempt's status over a new connection."""
 
-    state: AttemptStatus
+    status: AttemptStatus
 
 
 @dataclass(frozen=True, slots=True)
@@ -174,21 +174,21 @@
         """
         match event:
             case NotDispatched(reason=reason):
-                return self._not_run(reason, may_retry)
+                return self._on_not_run(reason, may_retry)
             case ConnectionLost():
                 return self._query_status()
-            case StatusReported(state=state):
-                return self._on_status(state, may_retry)
+            case StatusReported(status=status):
+                return self._on_status(status, may_retry)
             case AgentUnresponsive():
                 return self._on_unresponsive_agent(may_retry)
             case EndpointFailed(ran=RunStatus.NOT_RUN):
-                return self._not_run("endpoint_unreachable", may_retry)
+                return self._on_not_run("endpoint_unreachable", may_retry)
             case EndpointFailed():
-                return self._unknown("endpoint_failed", may_retry)
+                return self._on_outcome_unknown("endpoint_failed", may_retry)
             case DeadlinePassed():
-                return self._unknown("deadline_passed", _never)
+                return self._on_outcome_unknown("deadline_passed", _never)
             case AnswerTextExpired():
-                return self._unknown("answer_not_kept", may_retry)
+                return self._on_outcome_unknown("answer_not_kept", may_retry)
 
     def correct_refusal(self, failure: Failure) -> Failure:
         """Return a retry's refusal with the run status of the whole request.
@@ -211,28 +211,30 @@
     def _on_unresponsive_agent(self, may_retry: Callable[[], bool]) -> NextAction:
         if self._status_queries < _MAX_STATUS_QUERIES:
             return self._query_status()
-        return self._unknown("agent_gone", may_retry)
+        return self._on_outcome_unknown("agent_gone", may_retry)
 
     def _on_status(
-        self, state: AttemptStatus, may_retry: Callable[[], bool]
+        self, status: AttemptStatus, may_retry: Callable[[], bool]
     ) -> NextAction:
-        match state:
+        match status:
             case AttemptStatus.NOT_RUN:
-                return self._not_run("not_seen", may_retry)
+                return self._on_not_run("not_seen", may_retry)
             case AttemptStatus.UNKNOWN:
-                return self._unknown("agent_restarted", may_retry)
+                return self._on_outcome_unknown("agent_restarted", may_retry)
             case _:
                 return ResumeAt(self.forwarded)
 
-    def _not_run(self, reason: str, may_retry: Callable[[], bool]) -> NextAction:
+    def _on_not_run(self, reason: str, may_retry: Callable[[], bool]) -> NextAction:
         if self.forwarded > 0:
-            return self._unknown(reason, may_retry)
+            return self._on_outcome_unknown(reason, may_retry)
         if may_retry():
             return self._dispatch_again()
         ran = RunStatus.UNKNOWN if self._may_have_run else RunStatus.NOT_RUN
         return _fail(ran, reason, _DETAIL[ran])
 
-    def _unknown(self, reason: str, may_retry: Callable[[], bool]) -> NextAction:
+    def _on_outcome_unknown(
+        self, reason: str, may_retry: Callable[[], bool]
+    ) -> NextAction:
         # Text that was forwarded cannot be withdrawn, and a second run would
         # produce a different text. After the first character the answer can
         # only be resumed, by the agent that keeps the text or by an endpoint
--- a/src/azurefold/entry/placement.py
+++ b/src/azurefold/entry/placement.py
@@ -145,7 +145,7 @@
 
 def _cost_nothing(event: Event) -> bool:
     match event:
-        case StatusReported(state=AttemptStatus.NOT_RUN):
+        case StatusReported(status=AttemptStatus.NOT_RUN):
             return True
         case NotDispatched(reason=reason):
             return reason in (
--- a/src/azurefold/entry/relay.py
+++ b/src/azurefold/entry/relay.py
@@ -256,7 +256,7 @@
         # The agent does not have it. If it is still in the incarnation that
         # was given the attempt, asking settles it for good as not run.
         asked = self._ask()
-        if isinstance(asked, StatusReported) and asked.state in _KNOWN_THERE:
+        if isinstance(asked, StatusReported) and asked.status in _KNOWN_THERE:
             return AnswerTextExpired()
         return asked
 
@@ -294,7 +294,7 @@
 
 def _certainly_not_run(event: Event) -> bool:
     match event:
-        case NotDispatched() | StatusReported(state=AttemptStatus.NOT_RUN):
+        case NotDispatched() | StatusReported(status=AttemptStatus.NOT_RUN):
             return True
         case _:
             return False
--- a/tests/agent/test_attempts_come_to_an_end.py
+++ b/tests/agent/test_attempts_come_to_an_end.py
@@ -12,7 +12,7 @@
     parse_event,
 )
 from azurefold.agent.runner import new_runner
-from azurefold.core.attempts.ledger import Phase, new_ledger
+from azurefold.core.attempts.ledger import AttemptPhase, new_ledger
 from azurefold.core.clock import ManualTime, manual_clock
 
 
@@ -37,7 +37,7 @@
     gevent.sleep(0)
     assert buffer.ended
     assert runner.ledger.running_count == 0
-    assert runner.ledger.get_phase("a" * 32, "union") is Phase.FAILED
+    assert runner.ledger.get_phase("a" * 32, "union") is AttemptPhase.FAILED
     assert b'"unknown"' in list(buffer.lines(0))[-1]
 
 
--- a/tests/core/attempts/test_at_most_once.py
+++ b/tests/core/attempts/test_at_most_once.py
@@ -110,7 +110,7 @@
     class NotRunWhenUnresponsive(RequestState):
         def handle_event(self, event, may_retry):
             if isinstance(event, AgentUnresponsive):
-                return self._not_run("silent", may_retry)
+                return self._on_not_run("silent", may_retry)
             return super().handle_event(event, may_retry)
 
     class Machine(AtMostOnceMachine):
