--- a/src/azurefold/core/objectives/burn.py
+++ b/src/azurefold/core/objectives/burn.py
@@ -204,7 +204,7 @@
     if not windows:
         raise ValueError("at least one window is needed to compute a burn rate")
     objective = log.objective
-    burns = tuple(_window_burn(log, window, now) for window in sorted(windows))
+    burns = tuple(_compute_window_burn(log, window, now) for window in sorted(windows))
     by_source = log.count_within(objective.period, now)
     period = _sum_sources(by_source)
     remaining = remaining_budget(period.counts, objective)
@@ -219,12 +219,12 @@
         budget_left=remaining,
         ends_in=time_to_exhaustion(remaining, forecast.rate, objective),
         ends_window=forecast.window,
-        worst_organisations=_find_worst(by_source, objective, _organisation),
-        worst_endpoints=_find_worst(by_source, objective, _endpoint),
+        worst_organisations=_find_worst(by_source, objective, _get_organisation),
+        worst_endpoints=_find_worst(by_source, objective, _get_endpoint),
     )
 
 
-def _window_burn(log: ObjectiveLog, window: Millis, now: Millis) -> WindowBurn:
+def _compute_window_burn(log: ObjectiveLog, window: Millis, now: Millis) -> WindowBurn:
     observed = _sum_sources(log.count_within(window, now))
     return WindowBurn(window, observed, burn_rate(observed.counts, log.objective))
 
@@ -235,11 +235,11 @@
     return WindowCounts(counts, covered)
 
 
-def _organisation(source: Source) -> str:
+def _get_organisation(source: Source) -> str:
     return source.organisation
 
 
-def _endpoint(source: Source) -> str:
+def _get_endpoint(source: Source) -> str:
     return source.endpoint
 
 
--- a/src/azurefold/core/objectives/objective.py
+++ b/src/azurefold/core/objectives/objective.py
@@ -75,8 +75,10 @@
             )
         has_threshold = self.kind is not ObjectiveKind.ANSWERED_WHOLE
         if has_threshold != (self.threshold is not None):
-            need = "a threshold" if has_threshold else "no threshold"
-            raise ValueError(f"an objective of kind {self.kind.value} takes {need}")
+            requirement = "a threshold" if has_threshold else "no threshold"
+            raise ValueError(
+                f"an objective of kind {self.kind.value} takes {requirement}"
+            )
 
     @property
     def error_budget(self) -> float:
--- a/src/azurefold/core/routing/choice.py
+++ b/src/azurefold/core/routing/choice.py
@@ -23,6 +23,7 @@
 
 
 _ANSWER_SMOOTHING = 0.02
+"""Weight of the newest answer in the pool's moving averages."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,9 +37,11 @@
     prefill_weight : float
         Factor for the prefill time, because the rest of the batch waits for it too.
     batch_weight : float
-        Share of an answer's duration that a full batch adds, without any queueing.
+        Fraction of an answer's duration by which a full batch delays it, compared with
+        an empty one and without any queueing.
     failure_penalty_ms : int
-        Milliseconds added for an endpoint whose requests all fail.
+        Milliseconds added for an endpoint whose requests all fail; a lower failure
+        rate adds a proportional part.
     suspicion_penalty_ms : int
         Milliseconds added for an endpoint whose group is possibly stalled.
     """
@@ -52,7 +55,7 @@
 
 @dataclass(slots=True)
 class PoolMeans:
-    """Means over the pool, used for endpoints without observations of their own.
+    """Averages over the pool, used for endpoints without observations of their own.
 
     Parameters
     ----------
@@ -95,7 +98,7 @@
     failure_rate : float
         Smoothed share of failures, between 0 and 1.
     means : PoolMeans
-        Values for what has not been observed at the candidate yet.
+        Averages that replace values not yet observed at the candidate.
     policy : ChoicePolicy
         The weights.
     now : int
@@ -107,9 +110,11 @@
         else endpoint.token_interval
     )
     answer_ms = token_interval * means.answer_tokens
-    fill = (endpoint.expected_load(means.peer_requests, now) + 1.0) / endpoint.slots
-    queue_ms = answer_ms * max(0.0, fill - 1.0)
-    batch_ms = policy.batch_weight * answer_ms * (1.0 + fill)
+    utilisation = (
+        endpoint.expected_load(means.peer_requests, now) + 1.0
+    ) / endpoint.slots
+    queue_ms = answer_ms * max(0.0, utilisation - 1.0)
+    batch_ms = policy.batch_weight * answer_ms * (1.0 + utilisation)
     prefill_ms = (
         policy.prefill_ms_per_token
         * uncached_tokens
@@ -176,13 +181,16 @@
 
 
 def _next_with_room(
-    eligible: list[Endpoint], request: RouteRequest, draw: float, other: Endpoint | None
+    eligible: list[Endpoint],
+    request: RouteRequest,
+    draw: float,
+    skipped: Endpoint | None,
 ) -> Endpoint | None:
     count = len(eligible)
     start = int(draw * count)
     for step in range(count):
         candidate = eligible[(start + step) % count]
-        if candidate is other or candidate.name in request.exclude:
+        if candidate is skipped or candidate.name in request.exclude:
             continue
         if candidate.has_room:
             return candidate
--- a/src/azurefold/core/routing/concurrency.py
+++ b/src/azurefold/core/routing/concurrency.py
@@ -22,7 +22,7 @@
     initial_limit, min_limit, max_limit : int
         Requests in flight.
     queue_target_ms : int
-        Queueing delay at the endpoint that is accepted.
+        Queueing delay at the endpoint above which the limit is decreased.
     decrease_factor : float
         Factor applied to the limit when the target is exceeded.
     """
@@ -34,7 +34,7 @@
     decrease_factor: float = 0.85
 
 
-_EXCESS_SMOOTHING = 0.2
+_EXCESS_WAIT_SMOOTHING = 0.2
 _BASELINE_DRIFT = 0.01
 
 
@@ -51,8 +51,8 @@
         self._policy = policy
         self._max_limit = policy.max_limit
         self._limit = float(policy.initial_limit)
-        self._baseline_ms: float | None = None
-        self._smoothed_ms = 0.0
+        self._baseline_wait_ms: float | None = None
+        self._smoothed_wait_ms = 0.0
         self._next_decrease_at: Millis = 0
 
     @property
@@ -66,7 +66,7 @@
             return
         self._max_limit = max_limit
         is_unused = (
-            self._baseline_ms is None and self._limit >= self._policy.initial_limit
+            self._baseline_wait_ms is None and self._limit >= self._policy.initial_limit
         )
         self._limit = (
             float(max_limit) if is_unused else min(self._limit, float(max_limit))
@@ -88,17 +88,22 @@
         now : int
             The present time.
         """
-        excess_ms = max(0.0, wait_ms - prefill_ms)
-        if self._baseline_ms is None:
-            self._baseline_ms = excess_ms
-            self._smoothed_ms = excess_ms
+        excess_wait_ms = max(0.0, wait_ms - prefill_ms)
+        if self._baseline_wait_ms is None:
+            self._baseline_wait_ms = excess_wait_ms
+            self._smoothed_wait_ms = excess_wait_ms
         # The baseline is the shortest wait observed, which corresponds to an empty
         # queue. It drifts up, so that an endpoint that has become permanently slower is
         # not throttled for ever.
-        drift = _BASELINE_DRIFT * (excess_ms - self._baseline_ms)
-        self._baseline_ms = min(excess_ms, self._baseline_ms + drift)
-        self._smoothed_ms += _EXCESS_SMOOTHING * (excess_ms - self._smoothed_ms)
-        if self._smoothed_ms - self._baseline_ms > self._policy.queue_target_ms:
+        drift = _BASELINE_DRIFT * (excess_wait_ms - self._baseline_wait_ms)
+        self._baseline_wait_ms = min(excess_wait_ms, self._baseline_wait_ms + drift)
+        self._smoothed_wait_ms += _EXCESS_WAIT_SMOOTHING * (
+            excess_wait_ms - self._smoothed_wait_ms
+        )
+        if (
+            self._smoothed_wait_ms - self._baseline_wait_ms
+            > self._policy.queue_target_ms
+        ):
             self._decrease(wait_ms, now)
         elif 2 * in_flight >= self._limit:
             self._limit = min(self._max_limit, self._limit + 1 / self._limit)
@@ -110,7 +115,7 @@
     def reset(self) -> None:
         """Return to the smallest limit after an ejection."""
         self._limit = float(self._policy.min_limit)
-        self._baseline_ms = None
+        self._baseline_wait_ms = None
 
     def _decrease(self, wait_ms: Millis, now: Millis) -> None:
         # One moment of congestion delays all responses in flight. Without this pause,
--- a/src/azurefold/core/routing/ejection.py
+++ b/src/azurefold/core/routing/ejection.py
@@ -45,13 +45,20 @@
     max_share: float = 0.4
 
 
-_RATE_SMOOTHING = 0.1
+_FAILURE_RATE_SMOOTHING = 0.1
+"""Weight of the newest outcome in the failure rate."""
+
 _FAILURE_RATE_DECAY_MS: Millis = 2_000
+"""Time constant with which the failure rate decays after the last failure."""
 
 
 @dataclass(slots=True)
 class _Health:
-    """Outcomes that this node has observed at one endpoint."""
+    """Outcomes that this node has observed at one endpoint.
+
+    After an ejection the endpoint is on probation until its first success: a single
+    failure ejects it again. ``ejection_count`` doubles the duration each time.
+    """
 
     consecutive_failures: int = 0
     failure_rate: float = 0.0
@@ -107,11 +114,11 @@
         """Record a successful attempt."""
         health = self._health.setdefault(endpoint, _Health())
         health.consecutive_failures = 0
-        health.failure_rate -= _RATE_SMOOTHING * health.failure_rate
+        health.failure_rate -= _FAILURE_RATE_SMOOTHING * health.failure_rate
         health.samples += 1
         health.on_probation = False
         if (
-            health.failure_rate < _RATE_SMOOTHING
+            health.failure_rate < _FAILURE_RATE_SMOOTHING
             and health.samples > self.policy.min_samples
         ):
             health.ejection_count = 0
@@ -123,7 +130,7 @@
         health = self._health.setdefault(endpoint, _Health())
         health.consecutive_failures += 1
         health.last_failure_at = now
-        health.failure_rate += _RATE_SMOOTHING * (1.0 - health.failure_rate)
+        health.failure_rate += _FAILURE_RATE_SMOOTHING * (1.0 - health.failure_rate)
         health.samples += 1
         if not self._is_failing(health):
             return None
@@ -132,7 +139,7 @@
     def eject(
         self, endpoint: str, cause: EjectionCause, pool_size: int, now: Millis
     ) -> Ejected | None:
-        """Eject the endpoint unless the maximum share is ejected already."""
+        """Eject an endpoint; None if it is ejected already or the share is used up."""
         # Without this limit, a fault that affects all endpoints, such as a bad prompt
         # or a slow store, would eject one endpoint after the other until the pool is
         # empty although every engine runs.
--- a/src/azurefold/core/routing/ejection_causes.py
+++ b/src/azurefold/core/routing/ejection_causes.py
@@ -22,14 +22,14 @@
 
 
 def find_ejection_cause(
-    endpoint: Endpoint, usual_interval: float, policy: EjectionPolicy, now: Millis
+    endpoint: Endpoint, median_interval: float, policy: EjectionPolicy, now: Millis
 ) -> EjectionCause | None:
     """Return the cause for which ``endpoint`` should be ejected, if there is one.
 
     Parameters
     ----------
     endpoint : Endpoint
-    usual_interval : float
+    median_interval : float
         Median milliseconds between tokens in the endpoint's pool.
     policy : EjectionPolicy
         Thresholds for slow and stuck endpoints.
@@ -43,6 +43,6 @@
         or endpoint.token_interval_samples < policy.min_samples
     ):
         return None
-    if endpoint.token_interval > policy.slow_ratio * usual_interval:
+    if endpoint.token_interval > policy.slow_ratio * median_interval:
         return EjectionCause.SLOW
     return None
--- a/src/azurefold/core/routing/endpoint.py
+++ b/src/azurefold/core/routing/endpoint.py
@@ -11,8 +11,8 @@
 
 __all__ = ["Attempt", "DividedSlots", "Endpoint", "ExchangedLoads", "SlotSharing"]
 
-_HISTORY_MS: Millis = 10_000
-_MAX_HISTORY_LENGTH = 512
+_ATTEMPT_HISTORY_MS: Millis = 10_000
+_MAX_ATTEMPT_HISTORY_LENGTH = 512
 _REPORT_DECAY_MS: Millis = 3_000
 _TOKEN_INTERVAL_SMOOTHING = 0.15
 _DEFAULT_SLOTS = 16
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DividedSlots:
-    """Nodes learn of each other's load late, so each has a share of the slots."""
+    """Each node has a share of the slots, because it learns other nodes' loads late."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,7 +43,19 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One attempt in flight."""
+    """One attempt in flight.
+
+    Parameters
+    ----------
+    started_at : int
+        When the attempt was sent.
+    prefixes : tuple of Prefix
+        Cacheable prefixes of its prompt.
+    prefill_ms : float
+        Expected prefill time of the uncached part of its prompt.
+    first_token_at : int or None
+        When the first token was received; None before that.
+    """
 
     started_at: Millis
     prefixes: tuple[Prefix, ...]
@@ -65,11 +77,36 @@
         How nodes share the endpoint's slots.
     distance_ms : int
         Milliseconds added to the expected wait, so that nearer endpoints are preferred.
+    attempts : dict of str to Attempt
+        This node's attempts in flight, by attempt identifier.
+    awaiting_first_token : dict of str to int
+        Start times of the attempts without a first token, oldest first.
+    slot_share : int
+        This node's share of the slots, used if they are divided.
+    counted_room, counted_capacity : int
+        Room and capacity that the totals of the pool include for this endpoint.
+    is_eligible : bool
+        Whether the endpoint may be chosen at present.
+    is_leaving : bool
+        Whether the endpoint is leaving and must get no further requests.
     is_suspected : bool
         Whether the endpoint's group is possibly stalled.
     max_requests : int or None
         Largest number of requests from all nodes, which keeps the passes of the
         endpoint's group short; None if only the slots limit them.
+    slots : int
+        Requests that the engine runs in one batch.
+    peer_requests : float
+        Requests of other nodes, according to the last load report.
+    measured_at : int or None
+        When the last load report was measured; None before the first one.
+    token_interval : float or None
+        Smoothed milliseconds between tokens; None without observations.
+    token_interval_samples : int
+        Number of observations in ``token_interval``.
+    last_progress_at : int
+        When the endpoint last sent a first token or completed an answer, or when it
+        was added or readmitted.
     """
 
     name: str
@@ -93,8 +130,8 @@
     last_progress_at: Millis = 0
     _node_count: int = 1
     _node_position: int = 0
-    _history: deque[tuple[Millis, int]] = field(
-        default_factory=lambda: deque(maxlen=_MAX_HISTORY_LENGTH)
+    _attempt_history: deque[tuple[Millis, int]] = field(
+        default_factory=lambda: deque(maxlen=_MAX_ATTEMPT_HISTORY_LENGTH)
     )
 
     @property
@@ -145,13 +182,14 @@
     def share_slots(self, node_count: int, position: int) -> None:
         """Set this node's share of the slots among ``node_count`` nodes.
 
-        The remainder of the division goes to different nodes at each endpoint.
+        ``position`` is the index of this node among them, from 0. The remainder of the
+        division goes to different nodes at each endpoint.
         """
         self._node_count = node_count
         self._node_position = position
         even_share, remainder = divmod(self.slots, node_count)
-        place = (position + crc32(self.name.encode())) % node_count
-        self.slot_share = max(1, even_share + (place < remainder))
+        rotated_position = (position + crc32(self.name.encode())) % node_count
+        self.slot_share = max(1, even_share + (rotated_position < remainder))
 
     def set_slots(self, slots: int) -> None:
         """Set how many requests the engine runs in one batch."""
@@ -164,7 +202,7 @@
             return
         self.attempts[attempt_id] = attempt
         self.awaiting_first_token[attempt_id] = attempt.started_at
-        self._record_count(attempt.started_at)
+        self._record_attempt_count(attempt.started_at)
 
     def remove_attempt(self, attempt_id: str, now: Millis) -> Attempt | None:
         """Remove and return an attempt; ``None`` if it is not known, or no longer."""
@@ -172,17 +210,17 @@
         if attempt is None:
             return None
         self.awaiting_first_token.pop(attempt_id, None)
-        self._record_count(now)
+        self._record_attempt_count(now)
         return attempt
 
     def adopt_attempts(self, former: "Endpoint") -> None:
         """Adopt the attempts of ``former``, an earlier entry for the same endpoint."""
         self.attempts = former.attempts
         self.awaiting_first_token = former.awaiting_first_token
-        self._history = former._history
+        self._attempt_history = former._attempt_history
 
     def record_load(self, report: LoadReport, now: Millis) -> None:
-        """Apply a load report, which was measured ``report.age_ms`` ago."""
+        """Apply a load report; one measured before the last one is ignored."""
         measured_at = now - report.age_ms
         # An older report may arrive after a newer one.
         if self.measured_at is not None and measured_at < self.measured_at:
@@ -194,7 +232,7 @@
         if report.slots and report.slots != self.slots:
             self.set_slots(report.slots)
         # The report includes this node's attempts at that time. They are subtracted
-        # here, because the present ones are added later.
+        # here, because the present ones are added later and would be counted twice.
         self.peer_requests = max(
             0.0, float(report.in_flight - self._own_attempts_at(measured_at))
         )
@@ -215,7 +253,7 @@
     def expected_load(self, mean_peer_requests: float, now: Millis) -> float:
         """Return the estimated number of requests from all nodes at present.
 
-        With the age of the report, the estimate approaches the pool's mean. Otherwise
+        The older the report, the closer the estimate is to the pool's mean. Otherwise
         every node would send to the endpoint that was idle some seconds ago.
         """
         if self.measured_at is None:
@@ -249,13 +287,16 @@
             return 0
         return now - max(oldest_start, self.last_progress_at)
 
-    def _record_count(self, now: Millis) -> None:
-        self._history.append((now, len(self.attempts)))
-        while self._history and self._history[0][0] < now - _HISTORY_MS:
-            self._history.popleft()
+    def _record_attempt_count(self, now: Millis) -> None:
+        self._attempt_history.append((now, len(self.attempts)))
+        while (
+            self._attempt_history
+            and self._attempt_history[0][0] < now - _ATTEMPT_HISTORY_MS
+        ):
+            self._attempt_history.popleft()
 
     def _own_attempts_at(self, time: Millis) -> int:
-        for changed_at, count in reversed(self._history):
+        for changed_at, count in reversed(self._attempt_history):
             if changed_at <= time:
                 return count
         return 0
--- a/src/azurefold/core/routing/exclusions.py
+++ b/src/azurefold/core/routing/exclusions.py
@@ -23,7 +23,7 @@
     ----------
     ejector : Ejector
     paused : frozenset of str
-        Endpoints whose group is down.
+        Endpoints whose group is down, until it is reported to run again.
     over_quota : dict of str to int
         Endpoints whose quota allows no request of this node, and when to check again.
     backing_off : dict of str to int
@@ -49,7 +49,7 @@
 
     @property
     def next_end(self) -> Millis | None:
-        """When the next exclusion with a known end is over."""
+        """When the next exclusion ends, of those whose end is known."""
         end_times = [*self._unreachable_until.values(), *self.over_quota.values()]
         end_times += self.backing_off.values()
         if self.ejector.next_end is not None:
--- a/src/azurefold/core/routing/members.py
+++ b/src/azurefold/core/routing/members.py
@@ -10,7 +10,7 @@
 
 __all__ = ["Members"]
 
-_DIVIDED = DividedSlots()
+_DIVIDED_SLOTS = DividedSlots()
 
 
 class Members:
@@ -29,7 +29,7 @@
     """
 
     def __init__(
-        self, policy: ConcurrencyPolicy, sharing: SlotSharing = _DIVIDED
+        self, policy: ConcurrencyPolicy, sharing: SlotSharing = _DIVIDED_SLOTS
     ) -> None:
         self._policy = policy
         self._sharing = sharing
--- a/src/azurefold/core/routing/messages.py
+++ b/src/azurefold/core/routing/messages.py
@@ -53,7 +53,7 @@
     exclude : frozenset of str, default=frozenset()
         Endpoints that a retry must not use again.
     may_queue : bool, default=False
-        Whether it may wait in an endpoint's own queue if no endpoint has room.
+        Whether the request may wait in an endpoint's own queue if no endpoint has room.
     is_contended : bool, default=False
         Whether other nodes are choosing at the same moment. They would all choose the
         least loaded endpoint, so the choice is then random.
@@ -106,7 +106,7 @@
     slots : int
         Requests that the engine runs in one batch; 0 if the report does not include it.
     age_ms : int, default=0
-        Milliseconds between the measurement and its arrival here.
+        Milliseconds between the measurement and the arrival of the report.
     """
 
     in_flight: int
@@ -163,7 +163,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ejected:
-    """An endpoint is excluded until ``until``."""
+    """Ejection of an endpoint, which is excluded until ``until``."""
 
     endpoint: str
     cause: EjectionCause
--- a/src/azurefold/core/routing/pass_limit.py
+++ b/src/azurefold/core/routing/pass_limit.py
@@ -47,7 +47,7 @@
 
     Notes
     -----
-    A node knows the requests of some of the ranks only, but the duration of a pass
+    A node knows only the requests of some ranks, but the duration of a pass
     depends on the requests of all ranks. If each node limited its ranks in proportion
     to their own requests, ranks that once got more requests than others would keep
     them. The limit is therefore scaled by the mean over the whole group.
@@ -100,7 +100,7 @@
         self._requests += weight * (requests - self._requests)
 
     def record_group_mean(self, group_mean: float, now: Millis) -> None:
-        """Record the mean requests over all ranks of the group, a second old."""
+        """Record the mean number of requests per rank of the group, about 1 s old."""
         if self._long_term_requests <= 0 or group_mean <= 0:
             return
         share = group_mean / self._long_term_requests
@@ -117,7 +117,7 @@
     def group_share(self, now: Millis) -> float:
         """Return the mean over all ranks, relative to the mean over those known here.
 
-        1 if the coordinator has not reported recently.
+        1 if the last report of the coordinator has expired.
         """
         if (
             self._group_mean_at is None
@@ -134,7 +134,8 @@
         Parameters
         ----------
         promised_gap : int
-            Longest time between two events of a stream that is on time; 0 for no limit.
+            Longest time in milliseconds between two events of a stream that is on time;
+        0 for no limit.
         slots : int
             Requests that a rank can run at the same time.
         now : int
--- a/src/azurefold/core/routing/peer_loads.py
+++ b/src/azurefold/core/routing/peer_loads.py
@@ -9,7 +9,7 @@
 __all__ = ["LoadDigest", "PeerLoads", "endpoint_hash"]
 
 _EXPIRY_MS: Millis = 1_500
-"""Time without a digest after which a node's load no longer counts.
+"""Time without a digest after which a node's load is no longer counted.
 
 Nodes send at least two digests per second, and three lost messages in a row are rare.
 The requests of a node that has stopped end within seconds."""
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadDigest:
-    """Requests of one node in flight.
+    """Numbers of one node's requests in flight, as it reports them to other nodes.
 
     Parameters
     ----------
@@ -71,11 +71,11 @@
 
     def receive(self, digest: LoadDigest, now: Millis) -> bool:
         """Apply a digest; return whether it is newer than the node's last one."""
-        known = self._received.get(digest.node)
-        if known is not None and _is_older(digest, known.digest):
+        previous = self._received.get(digest.node)
+        if previous is not None and _is_older(digest, previous.digest):
             return False
-        if known is not None:
-            self._add(known.digest.loads, -1)
+        if previous is not None:
+            self._add(previous.digest.loads, -1)
         self._received[digest.node] = _ReceivedDigest(now, digest)
         self._add(digest.loads, 1)
         return True
@@ -121,7 +121,7 @@
                 self._sums.pop(name_hash, None)
 
 
-def _is_older(digest: LoadDigest, known: LoadDigest) -> bool:
-    if digest.incarnation != known.incarnation:
-        return digest.incarnation < known.incarnation
-    return digest.sequence <= known.sequence
+def _is_older(digest: LoadDigest, previous: LoadDigest) -> bool:
+    if digest.incarnation != previous.incarnation:
+        return digest.incarnation < previous.incarnation
+    return digest.sequence <= previous.sequence
--- a/src/azurefold/core/routing/pool.py
+++ b/src/azurefold/core/routing/pool.py
@@ -41,7 +41,7 @@
 _MIN_RETRY_AFTER_MS: Millis = 100
 _MAX_RETRY_AFTER_MS: Millis = 2_000
 _MIN_TOKEN_INTERVAL_MS = 0.01
-_NO_REQUEST = RouteRequest()
+_EMPTY_REQUEST = RouteRequest()
 
 
 class Pool(PoolState):
@@ -97,13 +97,13 @@
 
     def can_send(self, endpoint: str, request: RouteRequest) -> bool:
         """Whether ``request`` may be sent to ``endpoint`` now."""
-        known = self._members.by_name.get(endpoint)
-        if known is None or endpoint in request.exclude:
+        member = self._members.by_name.get(endpoint)
+        if member is None or endpoint in request.exclude:
             return False
-        return known.is_eligible and known.has_room
+        return member.is_eligible and member.has_room
 
     def _quota_retry_after(self, draw: float) -> Millis:
-        """Return a randomised delay after which some quota may be available."""
+        """Return a randomised delay after which a quota may allow a request."""
         total_rate = sum(share.quota for share in self._quotas.shares.values())
         interval_ms = _SECOND_MS / max(total_rate, _SECOND_MS / _MAX_RETRY_AFTER_MS)
         return int(_MIN_RETRY_AFTER_MS + interval_ms * (0.5 + draw))
@@ -113,33 +113,33 @@
         endpoint: str,
         attempt_id: str,
         now: Millis,
-        request: RouteRequest = _NO_REQUEST,
+        request: RouteRequest = _EMPTY_REQUEST,
     ) -> None:
-        """Record that an attempt was sent."""
-        known = self._members.by_name.get(endpoint)
-        if known is None:
+        """Record that an attempt was sent, and charge it to the endpoint's quota."""
+        member = self._members.by_name.get(endpoint)
+        if member is None:
             return
         cached = self._hints.cached_tokens(endpoint, request.prefixes, now)
         uncached = max(0, request.prompt_tokens - cached)
         prefill_ms = uncached * self._policy.choice.prefill_ms_per_token
-        known.add_attempt(attempt_id, Attempt(now, request.prefixes, prefill_ms))
-        self._members.update_totals(known)
+        member.add_attempt(attempt_id, Attempt(now, request.prefixes, prefill_ms))
+        self._members.update_totals(member)
         if self._quotas.charge_request(endpoint, now):
             self._refresh(now)
 
     def record_first_token(self, endpoint: str, attempt_id: str, now: Millis) -> None:
         """Record the first token of an attempt; a repeated call changes nothing."""
-        known = self._members.find(endpoint)
-        attempt = known.attempts.get(attempt_id) if known else None
+        member = self._members.find(endpoint)
+        attempt = member.attempts.get(attempt_id) if member else None
         if attempt is None or attempt.first_token_at is not None:
             return
         attempt.first_token_at = now
-        known.awaiting_first_token.pop(attempt_id, None)
-        known.last_progress_at = now
-        known.concurrency.observe_first_token(
-            now - attempt.started_at, attempt.prefill_ms, known.in_flight, now
+        member.awaiting_first_token.pop(attempt_id, None)
+        member.last_progress_at = now
+        member.concurrency.observe_first_token(
+            now - attempt.started_at, attempt.prefill_ms, member.in_flight, now
         )
-        self._members.update_totals(known)
+        self._members.update_totals(member)
         # The endpoint has just computed this prompt; its cache event arrives later.
         for prefix in attempt.prefixes:
             self._hints.add(endpoint, prefix.hash, now)
@@ -154,48 +154,48 @@
         Ejected or None
             The ejection caused by this outcome.
         """
-        known = self._members.find(endpoint)
-        attempt = known.remove_attempt(attempt_id, now) if known else None
+        member = self._members.find(endpoint)
+        attempt = member.remove_attempt(attempt_id, now) if member else None
         if attempt is None:
             return None
         ejected = None
         if endpoint in self._members.by_name:
-            ejected = self._record_outcome(known, attempt, outcome, now)
-        self._members.record_end(known)
+            ejected = self._record_outcome(member, attempt, outcome, now)
+        self._members.record_end(member)
         return ejected
 
     def _record_outcome(
-        self, known: Endpoint, attempt: Attempt, outcome: Outcome, now: Millis
+        self, member: Endpoint, attempt: Attempt, outcome: Outcome, now: Millis
     ) -> Ejected | None:
         match outcome:
             case Answered(tokens):
-                known.last_progress_at = now
-                self._record_answer(known, attempt, tokens, now)
-                self._ejector.record_success(known.name)
+                member.last_progress_at = now
+                self._record_answer(member, attempt, tokens, now)
+                self._ejector.record_success(member.name)
             case Failed() | TimedOut():
-                return self._record_failure(known, now)
+                return self._record_failure(member, now)
             case Refused():
-                known.concurrency.observe_refusal(now)
-                known.mark_full()
+                member.concurrency.observe_refusal(now)
+                member.mark_full()
             case Misdirected():
                 # The endpoint rejects requests at once, so it always has the least
                 # load. Without the ejection it would be chosen for each request, and
                 # each request would need a retry.
-                return self._eject(known, EjectionCause.MISDIRECTED, now)
+                return self._eject(member, EjectionCause.MISDIRECTED, now)
             case Cancelled():
                 return None
         return None
 
     def tick(self, now: Millis) -> tuple[Ejected, ...]:
-        """Eject slow and stuck endpoints; to be called about once per second."""
+        """Eject slow and stuck endpoints; must be called about once per second."""
         self._quotas.prune(self._members.by_name.keys(), now)
         self._prune_announced_leaving(now)
         self._refresh(now)
-        usual_interval = median_token_interval(
+        median_interval = median_token_interval(
             self._members.eligible, self._means.token_interval
         )
         results = [
-            self._eject_if_needed(endpoint, usual_interval, now)
+            self._eject_if_needed(endpoint, median_interval, now)
             for endpoint in self._members.eligible
         ]
         ejections = tuple(result for result in results if result is not None)
@@ -210,7 +210,7 @@
                 return self._find_candidates_with_room(request, draws)
             case DividedSlots():
                 candidates = list(draw_two(self._members.eligible, request, draws))
-        holders = self._hints.holders(request.prefixes, now)
+        holders = self._hints.find_endpoints(request.prefixes, now)
         if not holders:
             return candidates
         holder = holders[int(draws[1] * len(holders))]
@@ -243,26 +243,26 @@
         self._means.observe_answer(token_interval, tokens)
 
     def _record_failure(self, endpoint: Endpoint, now: Millis) -> Ejected | None:
-        size = len(self._members.by_name)
-        ejected = self._ejector.record_failure(endpoint.name, size, now)
+        pool_size = len(self._members.by_name)
+        ejected = self._ejector.record_failure(endpoint.name, pool_size, now)
         if ejected is not None:
             self._reset_after_ejection(endpoint)
             self._refresh(now)
         return ejected
 
     def _eject_if_needed(
-        self, endpoint: Endpoint, usual_interval: float, now: Millis
+        self, endpoint: Endpoint, median_interval: float, now: Millis
     ) -> Ejected | None:
         cause = find_ejection_cause(
-            endpoint, usual_interval, self._policy.ejection, now
+            endpoint, median_interval, self._policy.ejection, now
         )
         return None if cause is None else self._eject(endpoint, cause, now)
 
     def _eject(
         self, endpoint: Endpoint, cause: EjectionCause, now: Millis
     ) -> Ejected | None:
-        size = len(self._members.by_name)
-        ejected = self._ejector.eject(endpoint.name, cause, size, now)
+        pool_size = len(self._members.by_name)
+        ejected = self._ejector.eject(endpoint.name, cause, pool_size, now)
         if ejected is not None:
             self._reset_after_ejection(endpoint)
             self._refresh(now)
--- a/src/azurefold/core/routing/pool_state.py
+++ b/src/azurefold/core/routing/pool_state.py
@@ -21,7 +21,7 @@
 _LEAVING_RETENTION_MS: Millis = 600_000
 """Time after its last announcement for which an unlisted endpoint is remembered.
 
-Longer than an endpoint that is leaving may be temporarily missing from the list."""
+Longer than a leaving endpoint can be temporarily missing from the list."""
 
 
 class PoolState:
@@ -83,10 +83,10 @@
 
     @property
     def next_available_at(self) -> Millis | None:
-        """When an endpoint becomes eligible again, if none is and some back off.
+        """When the next backoff ends, if no endpoint is eligible and some back off.
 
         None if an endpoint is eligible now, if none is backing off, or if a group is
-        down, as the time of its recovery is unknown.
+        down, because the time of its recovery is unknown.
         """
         exclusions = self._exclusions
         if self._members.eligible or exclusions.paused or not exclusions.backing_off:
@@ -110,7 +110,7 @@
 
     @property
     def draft_room(self) -> int:
-        """Room for drafts, which excludes the reserve for confirmations."""
+        """Number of further drafts; excludes the room reserved for confirmations."""
         capacity = self._members.capacity
         reserved = min(ceil(self._policy.reserved_share * capacity), capacity - 1)
         # With a capacity of one nothing is reserved, or drafts would wait for ever.
@@ -177,8 +177,8 @@
     def set_paused(self, names: frozenset[str]) -> None:
         """Set the endpoints that are excluded because their group is down.
 
-        If each request had to find this out by itself, a group that is down would
-        receive half of all requests, and refuse them, until it recovers.
+        Otherwise each request would detect the outage only by a refusal, and a group
+        that is down would receive, and refuse, half of all requests until it recovers.
         """
         self._exclusions.paused = names
         self._members.update_eligible(self._exclusions.names)
@@ -190,9 +190,10 @@
 
     def is_within_slots(self, endpoint: str) -> bool:
         """Whether an endpoint has at most as many requests from all nodes as slots."""
-        known = self._members.by_name.get(endpoint)
+        member = self._members.by_name.get(endpoint)
         return (
-            known is not None and known.in_flight + known.peer_requests <= known.slots
+            member is not None
+            and member.in_flight + member.peer_requests <= member.slots
         )
 
     def mean_running(self, names: Collection[str]) -> float:
@@ -286,7 +287,13 @@
         return endpoint in self._announced_leaving
 
     def back_off(self, endpoint: str, until: Millis, now: Millis) -> bool:
-        """Exclude an endpoint until a time; return whether its backoff got longer."""
+        """Exclude an endpoint until ``until``.
+
+        Returns
+        -------
+        bool
+            Whether this extended its backoff.
+        """
         if not self._backoffs.extend(endpoint, until):
             return False
         self._refresh(now)
@@ -295,39 +302,40 @@
     def record_leaving(self, endpoint: str, now: Millis) -> bool:
         """Exclude an endpoint that has announced that it is leaving.
 
-        The announcement overrides outdated list entries until the endpoint restarts.
+        The announcement overrides outdated entries of the endpoint list until the
+        endpoint restarts.
 
         Returns
         -------
         bool
             Whether this is its first announcement.
         """
-        is_known = endpoint in self._announced_leaving
+        was_announced = endpoint in self._announced_leaving
         self._announced_leaving[endpoint] = now
-        if not is_known:
+        if not was_announced:
             self.mark_leaving(endpoint, now)
-        return not is_known
+        return not was_announced
 
     def mark_leaving(self, endpoint: str, now: Millis) -> None:
         """Exclude an endpoint that is leaving; its attempts in flight continue."""
-        known = self._members.by_name.get(endpoint)
-        if known is not None:
-            known.is_leaving = True
+        member = self._members.by_name.get(endpoint)
+        if member is not None:
+            member.is_leaving = True
             self._refresh(now)
 
     def readmit(self, endpoint: str, now: Millis) -> None:
         """Make an endpoint eligible again after a new incarnation of it has joined."""
-        known = self._members.by_name.get(endpoint)
-        if known is not None:
-            known.is_leaving = False
+        member = self._members.by_name.get(endpoint)
+        if member is not None:
+            member.is_leaving = False
             self._refresh(now)
 
     def record_load(self, endpoint: str, report: LoadReport, now: Millis) -> None:
         """Apply a load report."""
-        known = self._members.by_name.get(endpoint)
-        if known is None:
+        member = self._members.by_name.get(endpoint)
+        if member is None:
             return
-        self._members.record_load(known, report, now)
+        self._members.record_load(member, report, now)
         self._means.peer_requests = self._members.mean_peer_requests
 
     def record_cached_prefix(
--- a/src/azurefold/core/routing/prefixes.py
+++ b/src/azurefold/core/routing/prefixes.py
@@ -70,7 +70,7 @@
                 return prefix.tokens
         return 0
 
-    def holders(self, prefixes: tuple[Prefix, ...], now: Millis) -> list[str]:
+    def find_endpoints(self, prefixes: tuple[Prefix, ...], now: Millis) -> list[str]:
         """Return the endpoints that probably hold the longest known prefix."""
         for prefix in reversed(prefixes):
             holders = self._holders.get(prefix.hash)
--- a/src/azurefold/core/routing/quota_sharers.py
+++ b/src/azurefold/core/routing/quota_sharers.py
@@ -25,9 +25,9 @@
     nodes : frozenset of str
         Nodes of the cell that are live and have callers.
     cell_number, cell_count : int
-        Number of this cell, and number of all cells.
+        Index of this cell, and the number of cells.
     is_partitioned : bool
-        Whether each endpoint gets requests from one cell only.
+        Whether each endpoint of the service gets requests from one cell only.
     """
 
     node: str = ""
@@ -60,6 +60,10 @@
         )
 
     def _is_of_this_cell(self, endpoint: str) -> bool:
+        """Whether the holders for an endpoint are nodes of this cell.
+
+        If all cells send to the endpoint, one of them is selected by hashing.
+        """
         if self.is_partitioned or self.cell_count <= 1:
             return True
         cells = range(self.cell_count)
--- a/src/azurefold/core/routing/quotas.py
+++ b/src/azurefold/core/routing/quotas.py
@@ -80,7 +80,23 @@
 
 @dataclass(slots=True)
 class _Quota:
-    """Quota of one endpoint, and this node's share of it."""
+    """Quota of one endpoint, and this node's share of it.
+
+    Parameters
+    ----------
+    report : QuotaReport
+        The newest report of the quota.
+    is_own : bool
+        Whether the endpoint sent this report to this node.
+    local_rate : float
+        Requests per second that this node may send.
+    holder_since : int or None
+        When this node became a holder; None if it is not one.
+    credit : float
+        Requests that have accrued, at most one; each request sent costs one.
+    credit_at : int
+        When ``credit`` was last updated.
+    """
 
     report: QuotaReport
     is_own: bool
@@ -146,41 +162,41 @@
             quota report may date from before the endpoint was overloaded.
         now : int
         """
-        known = self._quotas.get(endpoint)
-        if rate is None and not _can_end_quota(known, sent_at):
+        quota = self._quotas.get(endpoint)
+        if rate is None and not _can_end_quota(quota, sent_at):
             return False
         return self._record(endpoint, QuotaReport(rate, now), now, is_own=True)
 
     def record_report(self, endpoint: str, report: QuotaReport, now: Millis) -> bool:
         """Record a report from another node; return whether the quota has changed."""
-        known = self._quotas.get(endpoint)
-        if known is not None and report.reported_at <= known.report.reported_at:
+        quota = self._quotas.get(endpoint)
+        if quota is not None and report.reported_at <= quota.report.reported_at:
             return False
-        if known is None and report.rate is None:
+        if quota is None and report.rate is None:
             return False
         return self._record(endpoint, report, now, is_own=False)
 
     def charge_request(self, endpoint: str, now: Millis) -> bool:
         """Charge a request to an endpoint's quota; return whether it has a quota."""
-        known = self._quotas.get(endpoint)
-        if known is None or known.report.rate is None:
+        quota = self._quotas.get(endpoint)
+        if quota is None or quota.report.rate is None:
             return False
-        known.add_credit(now)
-        known.credit -= 1.0
+        quota.add_credit(now)
+        quota.credit -= 1.0
         return True
 
     def recheck_times(self, now: Millis) -> dict[str, Millis]:
-        """Return when to check again each endpoint that may get no request now."""
+        """Return when to check each endpoint again that may get no request now."""
         self._assign_shares(now)
-        open_times = {
+        next_send_times = {
             endpoint: quota.next_send_at(now)
             for endpoint, quota in self._quotas.items()
             if quota.report.rate is not None
         }
         return {
-            endpoint: open_time
-            for endpoint, open_time in open_times.items()
-            if open_time > now
+            endpoint: next_send_at
+            for endpoint, next_send_at in next_send_times.items()
+            if next_send_at > now
         }
 
     def reports(self, now: Millis) -> dict[str, QuotaReport]:
@@ -229,14 +245,14 @@
     def _record(
         self, endpoint: str, report: QuotaReport, now: Millis, *, is_own: bool
     ) -> bool:
-        known = self._quotas.get(endpoint)
-        if known is None:
-            known = self._quotas[endpoint] = _Quota(report, is_own, credit_at=now)
-            self._assign_share(endpoint, known, now)
+        quota = self._quotas.get(endpoint)
+        if quota is None:
+            quota = self._quotas[endpoint] = _Quota(report, is_own, credit_at=now)
+            self._assign_share(endpoint, quota, now)
             return True
-        has_changed = report.rate != known.report.rate
-        known.report, known.is_own = report, is_own
-        self._assign_share(endpoint, known, now)
+        has_changed = report.rate != quota.report.rate
+        quota.report, quota.is_own = report, is_own
+        self._assign_share(endpoint, quota, now)
         return has_changed
 
     def _assign_shares(self, now: Millis) -> None:
@@ -254,8 +270,11 @@
         quota.set_local_rate(rate / len(holders) if is_holder else 0.0, now)
 
 
-def _can_end_quota(known: _Quota | None, sent_at: Millis) -> bool:
-    """Whether a response without a quota, to a request sent then, ends the quota."""
-    if known is None or known.report.rate is None:
+def _can_end_quota(quota: _Quota | None, sent_at: Millis) -> bool:
+    """Whether a response that names no quota ends the quota.
+
+    It does unless its request was sent before the last report of the quota.
+    """
+    if quota is None or quota.report.rate is None:
         return False
-    return sent_at >= known.report.reported_at
+    return sent_at >= quota.report.reported_at
--- a/src/azurefold/core/routing/rank_groups.py
+++ b/src/azurefold/core/routing/rank_groups.py
@@ -42,7 +42,7 @@
     RUNS = 0
     DOWN = 1
     FORMS = 2
-    """All ranks are present again, and the group is forming."""
+    """All ranks are present again, and the group will run within its forming time."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -74,7 +74,24 @@
 class _GroupState:
     """State of one group, as this node knows it.
 
-    ``down_since`` is None unless the group is known to be down.
+    Parameters
+    ----------
+    epoch : int
+        Epoch of the last status; -1 before the first one.
+    down_since : int or None
+        When the group went down; None unless it is known to be down.
+    refused_at : int
+        Time of the last refusal that marked the group down.
+    last_probe_at : int
+        When the last probe was sent, or the group was last reported as down.
+    forming_since : int or None
+        When the group began to form; None if it is not forming.
+    is_suspected : bool
+        Whether the group is possibly stalled.
+    recovered_at : int
+        When an event last showed that the group runs again.
+    refused_by, refused_with_room_at : str, int
+        Rank and time of the last refusal by a rank with room.
     """
 
     epoch: int = -1
@@ -109,7 +126,7 @@
         if is_outdated and status.standing is not Standing.RUNS:
             # An event that arrived after the ranks' reports shows that the group runs.
             return False
-        has_moved = any(
+        have_ranks_moved = any(
             self._group_of.get(rank) != status.group for rank in status.ranks
         )
         self._group_of.update(dict.fromkeys(status.ranks, status.group))
@@ -124,7 +141,7 @@
             state.forming_since = None
         elif state.forming_since is None:
             state.forming_since = now
-        return has_moved or was_down != (state.down_since is not None)
+        return have_ranks_moved or was_down != (state.down_since is not None)
 
     def record_refusal(self, endpoint: str, cause: str, now: Millis) -> None:
         """Mark a group down after a rank refused a request because of another rank.
@@ -161,7 +178,7 @@
         return False
 
     def mark_suspected(self, endpoint: str) -> bool:
-        """Mark an endpoint's group as possibly stalled; return whether it was not."""
+        """Mark an endpoint's group as possibly stalled; return whether this is new."""
         state = self._state_of(self.group_of(endpoint))
         has_changed = not state.is_suspected
         state.is_suspected = True
@@ -203,7 +220,9 @@
         return max(start_times, default=None)
 
     def take_probe(self, endpoints: Iterable[str], now: Millis) -> str | None:
-        """Return an endpoint of a group that is due for a probe request, if any.
+        """Select an endpoint of a group that is due for a probe, and record the probe.
+
+        Returns None if no group is due.
 
         Without probes, a node that is cut off from the coordinator would never learn
         that a group has recovered, and would refuse its requests for ever.
--- a/src/azurefold/core/routing/retries.py
+++ b/src/azurefold/core/routing/retries.py
@@ -122,7 +122,7 @@
         self._requests.add(now // _STEP_MS, self._first_needed_step(now))
 
     def retries_left(self, now: Millis) -> float:
-        """Return how many retries the budget allows now.
+        """Return how many retries the budget allows at ``now``.
 
         This is the smallest number left in any window that can contain ``now``: from
         the window that started one window length ago to the one that starts now.
@@ -135,30 +135,35 @@
         to twice the load when callers move from one node to another.
         """
         window = self._policy.window_ms // _STEP_MS
-        half = window // 2
+        half_window = window // 2
         current_step = now // _STEP_MS
         first_step = self._first_needed_step(now)
-        first_window_step = first_step + half
+        first_window_step = first_step + half_window
         window_count = current_step + 1 - first_window_step
-        arrival = half + _DELIVERY_STEPS
+        arrival_offset = half_window + _DELIVERY_STEPS
+        # A retry arrives at its endpoint up to ``_DELIVERY_STEPS`` after it is granted.
+        # A window of arrivals therefore includes the retries granted that much earlier.
         # Running totals by step from ``first_step``; future steps add nothing.
         requests = self._requests.totals(first_step, current_step + 1)
         requests += requests[-1:] * window
         retries = self._retries.totals(first_window_step, current_step + 1)
         windows = zip(
-            requests[arrival + _SKIPPED_START_STEPS :],
-            requests[arrival + window :],
-            requests[arrival - half + _SKIPPED_START_STEPS :],
-            requests[arrival - half + window :],
+            requests[arrival_offset + _SKIPPED_START_STEPS :],
+            requests[arrival_offset + window :],
+            requests[arrival_offset - half_window + _SKIPPED_START_STEPS :],
+            requests[arrival_offset - half_window + window :],
             retries[:window_count],
             strict=False,
         )
-        half_ratio = self._policy.retries_per_request / 2
-        smallest = min(
-            half_ratio * (end - start + earlier_end - earlier_start) + retries_before
+        half_retry_ratio = self._policy.retries_per_request / 2
+        least_left = min(
+            half_retry_ratio * (end - start + earlier_end - earlier_start)
+            + retries_before
             for start, end, earlier_start, earlier_end, retries_before in windows
         )
-        return max(0.0, smallest - retries[-1] + self._allowance.effective_retries(now))
+        return max(
+            0.0, least_left - retries[-1] + self._allowance.effective_retries(now)
+        )
 
     def try_acquire(self, now: Millis) -> bool:
         """Take one retry from the budget; return whether one was left."""
@@ -168,7 +173,7 @@
         return True
 
     def _first_needed_step(self, now: Millis) -> int:
-        """Return the first step that any window containing ``now`` depends on."""
+        """Return the earliest step on which any window containing ``now`` depends."""
         window = self._policy.window_ms // _STEP_MS
         return now // _STEP_MS - window - _DELIVERY_STEPS - window // 2
 
--- a/tests/core/objectives/test_burn_reports.py
+++ b/tests/core/objectives/test_burn_reports.py
@@ -104,9 +104,9 @@
     samples = [(0, 0), (100, 100), (150, 200), (30, 40), (80, 100)]
     for minute, (good, total) in enumerate(samples):
         history.add(RequestCounts(good, total), minute * MINUTE_MS)
-    grown = history.count_within(HOUR_MS, 4 * MINUTE_MS).counts
-    assert grown == RequestCounts(good=230, total=300)
-    assert burn_rate(grown, objective) == pytest.approx(70 / 300 / 0.01)
+    increase = history.count_within(HOUR_MS, 4 * MINUTE_MS).counts
+    assert increase == RequestCounts(good=230, total=300)
+    assert burn_rate(increase, objective) == pytest.approx(70 / 300 / 0.01)
 
 
 def test_counts_restart_from_zero_with_the_process(objective):
@@ -154,11 +154,11 @@
     history.add(ZERO_COUNTS, 0)
     published, expected = ZERO_COUNTS, ZERO_COUNTS
     for minute, (good, bad, restarts) in enumerate(traffic, start=1):
-        grown = RequestCounts(good, good + bad)
-        expected = expected + grown
+        increase = RequestCounts(good, good + bad)
+        expected = expected + increase
         # A restart is only detectable if the new count is lower than the old one.
-        is_detectable = grown.good < published.good or grown.bad < published.bad
-        published = grown if restarts and is_detectable else published + grown
+        is_detectable = increase.good < published.good or increase.bad < published.bad
+        published = increase if restarts and is_detectable else published + increase
         history.add(published, minute * MINUTE_MS)
     assert history.count_within(DAY_MS, len(traffic) * MINUTE_MS).counts == expected
 
--- a/tests/core/routing/test_ejection.py
+++ b/tests/core/routing/test_ejection.py
@@ -83,13 +83,13 @@
     assert (ejected.endpoint, ejected.cause) == (names[0], EjectionCause.STUCK)
 
 
-def test_slow_endpoint_is_ejected_and_starts_afresh(pool, names):
+def test_slow_endpoint_is_ejected_and_returns_with_limit_one(pool, names):
     for number in range(12):
         for name in names:
-            step = 100 if name == names[0] else 20
+            token_interval = 100 if name == names[0] else 20
             pool.record_start(name, str(number), 0)
             pool.record_first_token(name, str(number), 50)
-            pool.record_end(name, str(number), Answered(11), 50 + 10 * step)
+            pool.record_end(name, str(number), Answered(11), 50 + 10 * token_interval)
     (ejected,) = pool.tick(2_000)
     assert (ejected.endpoint, ejected.cause) == (names[0], EjectionCause.SLOW)
     assert pool.tick(ejected.until) == ()
--- a/tests/core/routing/test_pass_limit.py
+++ b/tests/core/routing/test_pass_limit.py
@@ -71,7 +71,7 @@
     assert limit.max_requests_per_rank(PROMISED_MS, SLOTS, now=9_000) == alone
 
 
-def test_short_passes_leave_all_slots():
+def test_short_passes_allow_all_slots():
     requests, _ = run_until_settled(skew=1.0, offered=3)
     assert requests == 3
     limit = PassLimit(FIXED_MS)
@@ -132,7 +132,7 @@
     assert len({choice.endpoint for choice in later if isinstance(choice, Chosen)}) == 4
 
 
-def test_suspected_group_gets_only_the_overflow(pool):
+def test_suspected_group_gets_requests_only_when_others_are_full(pool):
     pool.set_suspected(frozenset(("a", "b")))
     for n in range(2 * (SLOTS + 1)):
         chosen = pool.choose(RouteRequest(), (0.1, 0.5), now=0)
--- a/tests/core/routing/test_pool_choice.py
+++ b/tests/core/routing/test_pool_choice.py
@@ -82,10 +82,12 @@
     now = 0
     for number in range(40):
         for name in names:
-            step = 60 if name == names[0] else 20
+            token_interval = 60 if name == names[0] else 20
             pool.record_start(name, str(number), now)
             pool.record_first_token(name, str(number), now + 50)
-            pool.record_end(name, str(number), Answered(11), now + 50 + 10 * step)
+            pool.record_end(
+                name, str(number), Answered(11), now + 50 + 10 * token_interval
+            )
         now += 1_000
     assert count_choices(pool, now)[names[0]] == 0
 
--- a/tests/core/routing/test_quotas.py
+++ b/tests/core/routing/test_quotas.py
@@ -22,13 +22,13 @@
 class SendingNodes:
     """Nodes that send to one endpoint whenever they are allowed to."""
 
-    number: int
+    node_count: int
     rate: float
     now: int = START_MS
     arrivals: list = field(default_factory=list)
 
     def __post_init__(self):
-        self.names = [f"node-{number}" for number in range(self.number)]
+        self.names = [f"node-{number}" for number in range(self.node_count)]
         self.quotas = {name: EndpointQuotas() for name in self.names}
 
     def set_sharers(self, names):
@@ -53,8 +53,8 @@
 
 
 def reassign_repeatedly(nodes):
-    for turn in range(40):
-        nodes.set_sharers(nodes.names[turn % 2 :: 2])
+    for round_number in range(40):
+        nodes.set_sharers(nodes.names[round_number % 2 :: 2])
         nodes.run(700)
     nodes.check()
 
@@ -94,19 +94,19 @@
 def test_quota_holds_for_any_sequence_of_sharers(rate, sharer_lists):
     nodes = SendingNodes(10, rate)
     for present, duration_ms in sharer_lists:
-        nodes.set_sharers(nodes.names[place] for place in present)
+        nodes.set_sharers(nodes.names[index] for index in present)
         nodes.run(duration_ms)
     nodes.check()
 
 
-@pytest.mark.parametrize("gateways", [9, 36, 98, 390])
+@pytest.mark.parametrize("node_count", [9, 36, 98, 390])
 @pytest.mark.parametrize("rate", [0.2, 1.0, 3.0, 20.0])
-def test_holders_together_stay_within_the_tolerance(gateways, rate):
+def test_holders_together_stay_within_the_tolerance(node_count, rate):
     """Each holder, and one extra holder, may send one request beyond its share."""
-    cells = max(1, round(gateways / 9))
+    cells = max(1, round(node_count / 9))
     max_requests = 0
     for cell in range(cells):
-        nodes = frozenset(f"gw-{n:03}" for n in range(cell, gateways, cells))
+        nodes = frozenset(f"gw-{n:03}" for n in range(cell, node_count, cells))
         holders = QuotaSharers("", nodes, cell, cells).holders(OVERLOADED, rate)
         if holders:
             max_requests += len(holders) + 4 * rate + 1 + 4 * rate / len(holders)
@@ -160,7 +160,7 @@
 
 
 def test_requests_are_refused_at_once_when_all_endpoints_are_over_quota():
-    """Guards against requests that wait until their deadlines for a closed endpoint."""
+    """Guards against requests that wait for a quota until their deadlines."""
     pool = Pool()
     pool.set_endpoints([OVERLOADED], 0)
     pool.record_quota_answer(OVERLOADED, 0.5, 0, 0)
@@ -173,8 +173,8 @@
 def test_quota_survives_a_temporary_gap_in_the_list():
     """Guards against exceeding the quota of an endpoint that was missing for a moment.
 
-    When cells were reassigned, the gateway lost the endpoint, got it again a moment
-    later, and had discarded its quota.
+    When cells were reassigned, the node removed the endpoint and its quota, and added
+    the endpoint again a moment later without the quota.
     """
     pool = Pool()
     pool.set_endpoints([OVERLOADED], 0)
