--- a/src/azurefold/core/membership/registry.py
+++ b/src/azurefold/core/membership/registry.py
@@ -136,7 +136,7 @@
         self._is_first_read_after_restore = True
         self._confirmed.clear()
 
-    def replace(
+    def replace_all(
         self,
         entries: Iterable[EndpointEntry],
         now: Millis,
@@ -238,7 +238,7 @@
         else:
             self.departures.forget(entry.name)
 
-    def drop(self, names: Iterable[str]) -> None:
+    def discard(self, names: Iterable[str]) -> None:
         """Delete entries that no longer describe a usable endpoint."""
         for name in names:
             self._withheld.pop(name, None)
--- a/src/azurefold/gateway/store/news.py
+++ b/src/azurefold/gateway/store/news.py
@@ -124,7 +124,7 @@
         before = set(self._state.registry.entries)
         entries = [entry for row in rows if (entry := self._entry(row))]
         state = self._state
-        restarted = state.registry.replace(
+        restarted = state.registry.replace_all(
             entries, state.clock.now(), state.endpoints_known_at
         )
         self._after_endpoints(before, rows, restarted)
@@ -138,7 +138,7 @@
         removed = [row.key for row in latest if row.removed]
         registry.remove(removed, state.clock.now(), state.endpoints_known_at)
         written = {row.key: self._entry(row) for row in latest if not row.removed}
-        registry.drop(name for name, entry in written.items() if entry is None)
+        registry.discard(name for name, entry in written.items() if entry is None)
         restarted = registry.put(entry for entry in written.values() if entry)
         self._after_endpoints(before, rows, restarted)
 
--- a/tests/core/membership/test_lapsed_entries.py
+++ b/tests/core/membership/test_lapsed_entries.py
@@ -13,7 +13,7 @@
 @pytest.fixture
 def registry():
     registry = EndpointRegistry()
-    registry.replace([entry(number) for number in range(10)], now=0)
+    registry.replace_all([entry(number) for number in range(10)], now=0)
     return registry
 
 
@@ -58,7 +58,7 @@
 
 
 def test_a_full_list_removes_unlisted_entries(registry):
-    registry.replace([entry(number) for number in range(9)], now=10)
+    registry.replace_all([entry(number) for number in range(9)], now=10)
     assert names(registry) == {f"e{number}" for number in range(9)}
 
 
--- a/tests/core/membership/test_restore_from_older_copy.py
+++ b/tests/core/membership/test_restore_from_older_copy.py
@@ -22,7 +22,7 @@
 @pytest.fixture
 def registry():
     registry = EndpointRegistry()
-    registry.replace([entry(name) for name in NAMES], now=0)
+    registry.replace_all([entry(name) for name in NAMES], now=0)
     return registry
 
 
@@ -33,7 +33,9 @@
 def restore_store(registry, names, now, started_at_ms=0):
     """Restore the store from an older copy and read it."""
     registry.on_store_restored(now)
-    registry.replace([entry(name, started_at_ms=started_at_ms) for name in names], now)
+    registry.replace_all(
+        [entry(name, started_at_ms=started_at_ms) for name in names], now
+    )
 
 
 def test_a_removed_endpoint_that_stays_listed_is_used_after_the_recovery(registry):
@@ -68,11 +70,13 @@
 def test_an_endpoint_that_announced_its_departure_stays_unused(started_at_ms):
     """Guards against losing an announced departure while its entry is not read."""
     registry = EndpointRegistry()
-    registry.replace([entry("e1", started_at_ms=started_at_ms), entry("e2")], now=0)
+    registry.replace_all([entry("e1", started_at_ms=started_at_ms), entry("e2")], now=0)
     registry.put([entry("e1", leaving=True, started_at_ms=started_at_ms)])
     registry.remove(["e1"], now=10)
     registry.on_store_restored(1_000)
-    registry.replace([entry("e1", started_at_ms=started_at_ms), entry("e2")], now=1_000)
+    registry.replace_all(
+        [entry("e1", started_at_ms=started_at_ms), entry("e2")], now=1_000
+    )
     registry.tick(now=60_000)
     assert in_use(registry) == {"e2"}
 
@@ -83,10 +87,10 @@
 def test_only_a_later_start_cancels_an_announced_departure(started_at_ms, used):
     """Guards against an older entry that is written first and cancels a departure."""
     registry = EndpointRegistry()
-    registry.replace([entry("e1", started_at_ms=5), entry("e2")], now=0)
+    registry.replace_all([entry("e1", started_at_ms=5), entry("e2")], now=0)
     registry.put([entry("e1", leaving=True, started_at_ms=5)])
     registry.on_store_restored(1_000)
-    registry.replace([entry("e1", started_at_ms=5), entry("e2")], now=1_000)
+    registry.replace_all([entry("e1", started_at_ms=5), entry("e2")], now=1_000)
     registry.put([entry("e1", started_at_ms=started_at_ms)])
     registry.tick(now=60_000)
     assert in_use(registry) == used
@@ -119,14 +123,14 @@
     """Guards against taking a departure after the restore for an earlier one."""
     restore_store(registry, NAMES, now=1_000)
     registry.remove(["e1"], now=1_200)
-    registry.replace([entry(name) for name in NAMES], now=1_400)
+    registry.replace_all([entry(name) for name in NAMES], now=1_400)
     assert in_use(registry) == set(NAMES)
 
 
 def test_an_entry_removed_between_two_reads_after_a_restore_is_deleted(registry):
     """Guards against taking removals after the restore for entries it lost."""
     restore_store(registry, NAMES, now=1_000)
-    registry.replace([entry("e2"), entry("e3")], now=1_400)
+    registry.replace_all([entry("e2"), entry("e3")], now=1_400)
     assert in_use(registry) == {"e2", "e3"}
 
 
@@ -161,7 +165,7 @@
     def __init__(self):
         self.registry = EndpointRegistry()
         self.rows = {name: entry(name, started_at_ms=1) for name in NAMES}
-        self.registry.replace(self.rows.values(), now=0)
+        self.registry.replace_all(self.rows.values(), now=0)
         self.copy = dict(self.rows)
         self.start_count = 1
         self.now = 0
@@ -220,7 +224,7 @@
             and name not in registry.entries.keys() - registry.leaving
         }
         registry.on_store_restored(self.now)
-        registry.replace(self.rows.values(), self.now)
+        registry.replace_all(self.rows.values(), self.now)
         used = registry.entries.keys() - registry.leaving
         assert not used & departed, f"{used & departed} are used again at {self.now}"
         self.listed_since = dict.fromkeys(self.rows, self.now)
@@ -247,6 +251,6 @@
 def test_an_announced_departure_replaces_a_peer_report(registry):
     """Guards against using an outdated entry again after a peer's report expires."""
     registry.withhold_reported(["e1"], now=100)
-    registry.replace([entry("e1", leaving=True), entry("e2"), entry("e3")], now=200)
+    registry.replace_all([entry("e1", leaving=True), entry("e2"), entry("e3")], now=200)
     registry.tick(now=9_000)
     assert in_use(registry) == {"e2", "e3"}
--- a/tests/gateway/crash_world.py
+++ b/tests/gateway/crash_world.py
@@ -276,7 +276,7 @@
             EndpointEntry(name, SERVICE, address, "dc-a", SLOTS)
             for name, address in self.running.items()
         ]
-        state.registry.replace(entries, self.time.at)
+        state.registry.replace_all(entries, self.time.at)
         state.registry.tick(self.time.at + 60_000)
         state.spread_endpoints()
 
--- a/tests/gateway/quota_world.py
+++ b/tests/gateway/quota_world.py
@@ -210,7 +210,7 @@
             EndpointEntry(rank, SERVICE, f"{rank}:1", "dc-a", SLOTS)
             for rank in self.ranks
         ]
-        state.registry.replace(entries, self.time.at)
+        state.registry.replace_all(entries, self.time.at)
         state.spread_endpoints()
 
     def _start(self, name):
--- a/tests/gateway/test_gateways_that_are_cut_off.py
+++ b/tests/gateway/test_gateways_that_are_cut_off.py
@@ -24,7 +24,7 @@
     entries = [
         EndpointEntry(f"e{n}", "drafts", f"10.0.0.{n}:80", "dc-a", 6) for n in range(2)
     ]
-    state.registry.replace(entries, time.at)
+    state.registry.replace_all(entries, time.at)
     state.spread_endpoints()
     reach = Reach(state)
     for peer in ("p1", "p2"):
--- a/tests/gateway/test_leaving_endpoints_stay_out.py
+++ b/tests/gateway/test_leaving_endpoints_stay_out.py
@@ -144,7 +144,7 @@
 def test_no_order_of_removals_keeps_an_endpoint_too_long(steps, delay, has_draining):
     """Guards against removed entries in use when a change is read up to 0.7 s late."""
     registry = EndpointRegistry()
-    registry.replace([_entry(name) for name in NAMES], now=0)
+    registry.replace_all([_entry(name) for name in NAMES], now=0)
     confirmed, reads, at = {}, [], 0
     for pause, names in steps:
         at += pause
--- a/tests/gateway/test_words_that_waited.py
+++ b/tests/gateway/test_words_that_waited.py
@@ -30,7 +30,7 @@
         service = RoutedService(SERVICE, 64, None)
         self.state.apply(RoutingConfiguration(1, (), {SERVICE: service}))
         entry = EndpointEntry(NEEDY, SERVICE, f"{NEEDY}:1", "dc-a", 6)
-        self.state.registry.replace([entry], self.time.at)
+        self.state.registry.replace_all([entry], self.time.at)
         self.state.spread_endpoints()
         store = ScriptedStore()
         peers = new_peers(self.state, store, new_news(self.state, store))
