--- a/src/azurefold/core/membership/buckets.py
+++ b/src/azurefold/core/membership/buckets.py
@@ -1,4 +1,8 @@
-"""Digest of a directory, split into buckets and updated incrementally."""
+"""Digest of a directory for anti-entropy, split into buckets by name hash.
+
+Two controls compare the hashes of their buckets to find the records that differ. The
+hashes are updated incrementally.
+"""
 
 from azurefold.core.membership.endpoints import (
     Endpoint,
@@ -18,7 +22,7 @@
 
     Gone endpoints are left out. Controls delete them at different times, so they would
     otherwise repair that difference for ever. A record that is gone here and live on a
-    peer still differs, and joining the two resolves it.
+    peer still differs, and joining the two records resolves it.
     """
 
     def __init__(self) -> None:
@@ -47,8 +51,11 @@
         if removed is not None:
             self._hashes[hashed_name % BUCKET_COUNT] ^= removed
 
-    def first_difference(self, hashes: tuple[int, ...], start: int) -> int | None:
-        """Return the first bucket from ``start`` on that differs, or None."""
+    def find_difference(self, hashes: tuple[int, ...], start: int) -> int | None:
+        """Return the first bucket that differs, or None.
+
+        The search begins at ``start`` and wraps around.
+        """
         if len(hashes) != BUCKET_COUNT:
             return None
         for step in range(BUCKET_COUNT):
--- a/src/azurefold/core/membership/controls.py
+++ b/src/azurefold/core/membership/controls.py
@@ -1,4 +1,4 @@
-"""One control process's view of the control processes of its data centre."""
+"""One control process's view of all control processes of its data centre."""
 
 from azurefold.core.clock import Millis
 from azurefold.core.membership.endpoints import Endpoint, Role, State
@@ -6,15 +6,15 @@
 
 __all__ = ["Controls"]
 
-_DORMANT_INTERVAL = 8
-_PUBLISH_AFTER_MS: Millis = 2_000
-_PUBLISH_WITHIN_MS: Millis = 10_000
+_PICKS_PER_DORMANT_PEER = 8  # see Controls.pick_any
+_STABLE_AFTER_MS: Millis = 2_000
+_MAX_PUBLISH_DELAY_MS: Millis = 10_000
 
 
 class Controls:
     """Live and dormant peers of one control process.
 
-    A peer is dormant if its record exists and does not say that it serves.
+    A peer is live if its record is in the serving state, and dormant otherwise.
 
     Parameters
     ----------
@@ -37,7 +37,7 @@
         self._digest = controls_digest(self._published)
         self._differs_since: Millis | None = None
         self._unchanged_since: Millis = 0
-        self._pending = self._addresses
+        self._latest_addresses = self._addresses
 
     @property
     def addresses(self) -> tuple[str, ...]:
@@ -72,10 +72,10 @@
         else:
             self._live.pop(record.name, None)
             self._dormant[record.name] = record.udp_address
-        changed = before != self._live.get(record.name)
-        if changed:
+        has_changed = before != self._live.get(record.name)
+        if has_changed:
             self._refresh()
-        return changed
+        return has_changed
 
     def publish_if_stable(self, now: Millis) -> None:
         """Publish the live controls once they have stopped changing.
@@ -90,18 +90,18 @@
             return
         if self._differs_since is None:
             self._differs_since = now
-        if self._addresses != self._pending:
-            self._pending = self._addresses
+        if self._addresses != self._latest_addresses:
+            self._latest_addresses = self._addresses
             self._unchanged_since = now
-        is_stable = now - self._unchanged_since >= _PUBLISH_AFTER_MS
-        if is_stable or now - self._differs_since >= _PUBLISH_WITHIN_MS:
+        is_stable = now - self._unchanged_since >= _STABLE_AFTER_MS
+        if is_stable or now - self._differs_since >= _MAX_PUBLISH_DELAY_MS:
             self._published = self._addresses
             self._digest = controls_digest(self._published)
             self._differs_since = None
 
     def _update_own(self, record: Endpoint) -> bool:
-        # A leaving control must remove itself, as its peers do. With different lists
-        # the controls would keep sending endpoints one list or the other.
+        # A leaving control must remove itself from its list, as its peers do. If their
+        # lists differed, they would alternately send them to the endpoints.
         before = self._is_own_serving
         self._is_own_serving = record.state is State.SERVING
         self._refresh()
@@ -120,18 +120,20 @@
         return select_owners(name, self._peers, count)
 
     def pick_live(self, draw: int) -> str | None:
-        """Return the live peer that a random number selects."""
+        """Return the live peer that the random number ``draw`` selects."""
         return self._peers[draw % len(self._peers)] if self._peers else None
 
     def pick_any(self, draw: int) -> str | None:
-        """Return a live peer or, every eighth time, a dormant one or a seed.
+        """Return a live peer or, every eighth time, a dormant peer or a seed.
 
         After a network partition each side considers the other one gone. If nothing
         were sent to dormant peers, the two sides would never reconnect.
         """
         self._pick_count += 1
         dormant = self._dormant_addresses()
-        if dormant and (not self._peers or self._pick_count % _DORMANT_INTERVAL == 0):
+        if dormant and (
+            not self._peers or self._pick_count % _PICKS_PER_DORMANT_PEER == 0
+        ):
             return dormant[draw % len(dormant)]
         return self.pick_live(draw)
 
--- a/src/azurefold/core/membership/departures.py
+++ b/src/azurefold/core/membership/departures.py
@@ -13,7 +13,7 @@
 __all__ = ["Departures"]
 
 _MAX_REMEMBERED = 8_192
-"""Number of endpoints; the earliest departures are deleted first."""
+"""Maximum number of departures kept; the earliest ones are deleted first."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/azurefold/core/membership/directory.py
+++ b/src/azurefold/core/membership/directory.py
@@ -38,7 +38,7 @@
 
 
 class Directory:
-    """All records of one control process.
+    """The records that one control process holds, and the messages that update them.
 
     Parameters
     ----------
@@ -77,7 +77,7 @@
 
     @property
     def revision(self) -> int:
-        """Number that increases with each change of the records or the snapshot."""
+        """Number that increases whenever the records or the snapshot change."""
         return self._revision
 
     @property
@@ -121,11 +121,11 @@
 
     def merge(self, records: Iterable[Endpoint], now: Millis) -> None:
         """Merge records from a snapshot of another control."""
-        # Controls come first: each new one recomputes the ownership of all records,
-        # which is cheap only while there are few of them.
+        # Controls come first: each new one causes the owners of all records to be
+        # recomputed, which is cheap only while there are few records.
         for record in sorted(records, key=lambda record: -record.role):
             self._merge(record, now)
-            # Other controls already have it; anti-entropy repairs what they lack.
+            # Other controls already have it; anti-entropy sends whatever they lack.
             if record.name != self._own_name:
                 self._gossip.cancel_update(record.name)
 
@@ -171,6 +171,7 @@
         return sends + self._gossip.tick(now, draw)
 
     def _record_message(self, source: Source, now: Millis) -> None:
+        """Record a message from a known incarnation, which is no longer silent."""
         known = self._records.get(source.name)
         if known is None or source.incarnation != known.incarnation:
             return
@@ -212,7 +213,8 @@
         self, message: Announcement, source: Source, now: Millis
     ) -> list[Send]:
         record = message.record
-        # An endpoint may only announce itself, in its authenticated incarnation.
+        # An endpoint may only announce itself, and only in the incarnation that its
+        # message was authenticated with.
         if (record.name, record.incarnation) != (source.name, source.incarnation):
             return []
         self._merge(record, now)
@@ -223,13 +225,14 @@
         return [Send(source.origin, Reply(self._controls.published))]
 
     def _on_changes(self, message: Changes, source: Source, now: Millis) -> list[Send]:
-        records, unknown = self._gossip.apply_changes(message)
+        records, unknown = self._gossip.expand_changes(message)
         requests = self._gossip.request_records(unknown, source.origin, now)
         return requests + self._merge_all(records, source, now)
 
     def _merge_all(
         self, records: Iterable[Endpoint], source: Source, now: Millis
     ) -> list[Send]:
+        """Merge a peer's records; return the changes that the peer lacks."""
         newer = []
         for record in records:
             before = self._records.get(record.name)
@@ -241,6 +244,10 @@
         return self._gossip.send_changes(newer, source.origin, now)
 
     def _merge(self, record: Endpoint, now: Millis) -> Endpoint | None:
+        """Join a record with the known one; return the record held afterwards.
+
+        An unknown endpoint that is gone is not added; the result is None.
+        """
         known = self._records.get(record.name)
         if known is None and record.state is State.GONE:
             return None
@@ -259,7 +266,7 @@
     def _keep_own_record(self, known: Endpoint | None, joined: Endpoint) -> Endpoint:
         if known is not None and joined.incarnation != known.incarnation:
             # Another process uses the same name in another incarnation. Peers already
-            # reject this process's messages as stale; it keeps its own record.
+            # reject this process's messages as stale. It keeps its own record.
             return known
         if joined.is_silent:
             return replace(joined, silence=joined.silence + 1)
--- a/src/azurefold/core/membership/failure_detector.py
+++ b/src/azurefold/core/membership/failure_detector.py
@@ -21,12 +21,17 @@
 
 @dataclass(slots=True)
 class _Watch:
+    """Since when a watched endpoint has been silent, and when it was last probed."""
+
     silent_since: Millis
     probed_at: Millis
 
 
 class FailureDetector:
-    """Timeouts of the endpoints that this control owns."""
+    """Timeouts of the endpoints that this control owns.
+
+    Messages from other endpoints are recorded too, but only owned ones are watched.
+    """
 
     def __init__(self, timing: Timing, now: Millis) -> None:
         self._timing = timing
@@ -57,7 +62,7 @@
         self._timeout_factors.pop(name, None)
 
     def double_timeout(self, name: str) -> None:
-        """Double the timeout of an endpoint that another control still receives from.
+        """Double the timeout of an endpoint that still sends to another control.
 
         If only the path from the endpoint to this control is broken, the endpoint's
         other owner refutes each declaration of this control. With a constant timeout,
@@ -74,7 +79,7 @@
         self._watched = watched
 
     def watch(self, name: str, now: Millis) -> None:
-        """Watch ``name`` too."""
+        """Watch ``name`` in addition to the others."""
         self._watched.setdefault(name, _Watch(now, now))
 
     def unwatch(self, name: str) -> None:
--- a/src/azurefold/core/membership/freshness.py
+++ b/src/azurefold/core/membership/freshness.py
@@ -17,7 +17,8 @@
 One that is further ahead was taken before the store's clock restarted."""
 
 _MAX_WATERMARK_AGE_MS: Millis = 2_500
-"""A process that the store answers has a more recent confirmation than this."""
+"""Maximum age of a watermark that shows that the store answers its sender. A process
+that the store answers has a more recent confirmation than this."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -59,11 +60,13 @@
     applied_version : int
         Version up to which all changes are applied here.
     newest_version : int
-        Version of the newest change, or a later one.
+        Version of the table's newest change, or a later one.
     confirmed_at : int or None
-        Store's time at which the table had no other changes; None if unknown.
+        Latest store's time at which the table is known to have had no change that is
+        not applied here; None if unknown.
     own_confirmed_at : int or None
-        The same, from this process's own calls alone.
+        Store's time of the last confirmation by this process's own calls, without other
+        processes' watermarks.
     """
 
     era: int = 0
@@ -99,7 +102,10 @@
 
         Parameters
         ----------
-        era, version : int
+        era : int
+            Era of the store.
+        version : int
+            Version of the store at which the rows were read.
         store_ms : int or None
             Store's time of the read; None if the answer did not contain it.
         """
@@ -118,11 +124,12 @@
         Parameters
         ----------
         version : int
+            Version up to which the answer lists all changes.
         newest_version : int or None
             Version of the last of the changes; None if there were none.
         store_ms : int or None
-            Store's time at which there were no other changes; None if there may have
-            been.
+            Store's time at which the table had no further changes; None if it may have
+            had some.
         """
         self.applied_version = version
         if newest_version is not None:
@@ -132,6 +139,9 @@
     def merge(self, watermark: TableWatermark, store_now: Millis | None = None) -> None:
         """Merge another process's watermark.
 
+        It confirms the local copy only if all changes up to its version are applied
+        here.
+
         Parameters
         ----------
         watermark : TableWatermark
@@ -148,6 +158,8 @@
             return
         if self.confirmed_at is None or watermark.confirmed_at > self.confirmed_at:
             self.confirmed_at = watermark.confirmed_at
+        # The version of a full read is only an upper bound of the newest change's. A
+        # later watermark with a lower version is a closer bound.
         is_later = watermark.confirmed_at > (self.own_confirmed_at or 0)
         if (
             is_later
@@ -166,7 +178,15 @@
             self._answered_since = None
 
     def is_outage_local(self, watermark: TableWatermark, store_now: Millis) -> bool:
-        """Whether the store answered another process throughout this one's outage."""
+        """Whether the store answered another process throughout this one's outage.
+
+        Parameters
+        ----------
+        watermark : TableWatermark
+            The other process's watermark.
+        store_now : int
+            The store's time.
+        """
         if (
             self._last_confirmed_before_outage is None
             or watermark.answered_since is None
@@ -186,11 +206,12 @@
         if store_now is None or self.confirmed_at is None:
             return None
         if self.confirmed_at > store_now + _MAX_AHEAD_MS:
+            # Confirmed before the store's clock restarted.
             return None
         return max(0, store_now - self.confirmed_at)
 
     def reset(self) -> None:
-        """Discard everything, because the table is read from another store from now."""
+        """Discard everything before the table is read from another store."""
         self.era = self.applied_version = self.newest_version = 0
         self.confirmed_at = self.own_confirmed_at = self._answered_since = None
         self._last_confirmed_before_outage = None
@@ -200,6 +221,7 @@
         if store_ms is None:
             return
         if store_ms < (self.own_confirmed_at or 0) - _MAX_AHEAD_MS:
+            # The store's clock has restarted.
             self.confirmed_at = self._answered_since = None
         if self._answered_since is None:
             self._answered_since = store_ms
--- a/src/azurefold/core/membership/gossip.py
+++ b/src/azurefold/core/membership/gossip.py
@@ -77,11 +77,11 @@
     def _has_pending_updates(self) -> bool:
         # Gossip carries more information per byte than anti-entropy, which would use up
         # the byte budget to resend changes that are already in flight. So anti-entropy
-        # waits until the queue is empty, unless there is no peer to send it to.
+        # waits until the queue is empty, unless there is no peer to send the queue to.
         return bool(self._queue) and bool(self._controls.peers)
 
     def enqueue(self, record: Endpoint) -> None:
-        """Queue a changed record for sending and update its bucket."""
+        """Queue a changed record for sending, and update its bucket."""
         self._name_by_hash[name_hash(record.name)] = record.name
         self._buckets.put(record)
         self._queue.add(record.name, urgent=_is_urgent(record))
@@ -91,8 +91,12 @@
         name = self._name_by_hash.get(hashed_name)
         return None if name is None else self._records[name]
 
-    def apply_changes(self, message: Changes) -> tuple[list[Endpoint], list[int]]:
-        """Return the peer's records, and the name hashes of those unknown here."""
+    def expand_changes(self, message: Changes) -> tuple[list[Endpoint], list[int]]:
+        """Return the records that a peer's changes describe, and unknown name hashes.
+
+        A change contains only the mutable fields, so a record can be built only if its
+        incarnation or a later one is known here. Nothing is stored.
+        """
         records, unknown = [], []
         for change in message.changes:
             known = self.find_by_hash(change.name)
@@ -107,7 +111,7 @@
         self._queue.record_duplicate(name)
 
     def cancel_update(self, name: str) -> None:
-        """Remove the record of ``name`` from the queue."""
+        """Cancel the sends of the latest change of ``name``."""
         self._queue.discard(name)
 
     def forget(self, name: str) -> None:
@@ -117,7 +121,7 @@
         self._queue.discard(name)
 
     def tick(self, now: Millis, draw: int) -> list[Send]:
-        """Return the digest and the queued changes that are due."""
+        """Return the messages with the digest and the queued changes that are due."""
         sends = []
         if now >= self._next_digest_at:
             self._next_digest_at = now + self._timing.digest_interval_ms
@@ -128,8 +132,11 @@
         return sends
 
     def on_digest(self, message: Digest, origin: str, now: Millis) -> list[Send]:
-        """Reply with a summary of one differing bucket, if there is one."""
-        bucket = self._buckets.first_difference(message.buckets, self._next_bucket)
+        """Reply with a summary of one differing bucket, if any differs.
+
+        No reply is sent while changes are queued or the rate limit is exceeded.
+        """
+        bucket = self._buckets.find_difference(message.buckets, self._next_bucket)
         if bucket is None or self._has_pending_updates:
             return []
         self._next_bucket = bucket + 1
@@ -142,21 +149,29 @@
     def on_summary(self, message: Summary, origin: str, now: Millis) -> list[Send]:
         """Reply with the local records that differ, and request unknown ones."""
         local, remote = self._buckets.compare(message)
-        # If one bucket differs, another one is likely to differ too.
+        # If one bucket differs, another one is likely to differ too, so the next digest
+        # is sent early.
         if not self._has_pending_updates:
             self._next_digest_at = min(
                 self._next_digest_at, now + self._timing.update_interval_ms
             )
-        unknown = [name for name in remote if name not in self._name_by_hash]
+        unknown = [
+            hashed_name
+            for hashed_name in remote
+            if hashed_name not in self._name_by_hash
+        ]
         known = {*local, *remote}.difference(unknown)
-        records = [self._records[self._name_by_hash[name]] for name in sorted(known)]
+        records = [
+            self._records[self._name_by_hash[hashed_name]]
+            for hashed_name in sorted(known)
+        ]
         changes = self.send_changes(records, origin, now)
         return changes + self.request_records(unknown, origin, now)
 
     def request_records(
         self, hashes: Sequence[int], origin: str, now: Millis
     ) -> list[Send]:
-        """Request complete records from a peer."""
+        """Request complete records from a peer, by the hashes of their names."""
         wanted = tuple(hashes[:_MAX_WANTED])
         size = DATAGRAM_OVERHEAD_BYTES + _WANT_ENTRY_BYTES * len(wanted)
         if not wanted or not self._rate_limiter.try_consume(size, now):
@@ -165,7 +180,10 @@
 
     def on_want(self, message: Want, origin: str, now: Millis) -> list[Send]:
         """Reply with the requested records."""
-        found = (self.find_by_hash(name) for name in message.names[:_MAX_WANTED])
+        found = (
+            self.find_by_hash(hashed_name)
+            for hashed_name in message.names[:_MAX_WANTED]
+        )
         return self._send_records(
             [record for record in found if record is not None], origin, now
         )
@@ -173,7 +191,10 @@
     def send_changes(
         self, records: Sequence[Endpoint], to: str, now: Millis
     ) -> list[Send]:
-        """Return datagrams with the mutable fields of ``records``."""
+        """Return datagrams with the mutable fields of ``records``.
+
+        Records that exceed the rate limit are left out.
+        """
         sends = []
         for start in range(0, len(records), _MAX_CHANGES):
             group = records[start : start + _MAX_CHANGES]
--- a/src/azurefold/core/membership/gossip_queue.py
+++ b/src/azurefold/core/membership/gossip_queue.py
@@ -19,7 +19,8 @@
 """Maximum size of the records in one datagram, so that none is fragmented."""
 
 DATAGRAM_OVERHEAD_BYTES = 96
-"""Size of UDP and IP headers and of the seal, with a sender name of 25 letters."""
+"""Size of UDP and IP headers and of the seal, which authenticates the sender. The seal
+contains the sender's name, here of 25 letters."""
 
 _RECORD_OVERHEAD_BYTES = 34
 
@@ -80,7 +81,7 @@
         return bool(self._remaining_sends)
 
     def add(self, name: str, urgent: bool) -> None:
-        """Queue the record of ``name`` for the full number of sends.
+        """Queue the record of ``name`` for ``sends_per_update`` sends.
 
         Changes of controls and of leaving endpoints are urgent: they are sent first,
         and the full number of times. While controls disagree about which controls
@@ -98,18 +99,18 @@
     def next_names(self, count: int) -> list[str]:
         """Return up to ``count`` names, urgent ones and the least often sent first."""
 
-        def order(name: str) -> tuple[bool, int, str]:
+        def sort_key(name: str) -> tuple[bool, int, str]:
             return name not in self._urgent, -self._remaining_sends[name], name
 
-        return sorted(self._remaining_sends, key=order)[:count]
+        return sorted(self._remaining_sends, key=sort_key)[:count]
 
     def record_duplicate(self, name: str) -> None:
-        """Skip one send of a change that a peer already has, unless it is urgent."""
+        """Omit one send, because a peer already has the change, unless it is urgent."""
         if name not in self._urgent:
             self.decrement_remaining_sends([name])
 
     def decrement_remaining_sends(self, names: Iterable[str]) -> None:
-        """Record one send of each name and remove those that are complete."""
+        """Record one send of each name, and remove the names without further sends."""
         for name in names:
             remaining = self._remaining_sends.get(name, 0) - 1
             if remaining > 0:
--- a/src/azurefold/core/membership/isolation.py
+++ b/src/azurefold/core/membership/isolation.py
@@ -7,8 +7,9 @@
 __all__ = ["IsolationDetector"]
 
 _SILENT_AFTER_MS: Millis = 700
-"""Peers send at least twice a second, and more often under load. One lost message does
-not make a peer silent. If half of the peers miss one at once, this node is cut off."""
+"""Peers send at least twice a second, and more often under load. After one lost message
+a peer may seem silent. If messages of half of the peers are missing at the same time,
+this node is cut off."""
 
 _FORGOTTEN_AFTER_MS: Millis = 20_000
 """A peer that is silent for longer has stopped and is no evidence of isolation."""
@@ -19,7 +20,7 @@
 
 @dataclass(slots=True)
 class IsolationDetector:
-    """Time of the last message from each peer."""
+    """Detector that compares the times of the last message from each peer."""
 
     _last_message_at: dict[str, Millis] = field(default_factory=dict)
 
--- a/src/azurefold/core/membership/leaving.py
+++ b/src/azurefold/core/membership/leaving.py
@@ -18,7 +18,7 @@
     "Refused",
     "WorkState",
     "admit_work",
-    "drain_progress",
+    "get_drain_progress",
     "finish_work",
     "start_leaving",
 ]
@@ -113,7 +113,7 @@
     return replace(work, leaving_since=now)
 
 
-def drain_progress(work: WorkState, now: Millis) -> DrainProgress | None:
+def get_drain_progress(work: WorkState, now: Millis) -> DrainProgress | None:
     """Return the progress of the drain, or None if the endpoint is not leaving."""
     if work.leaving_since is None:
         return None
--- a/src/azurefold/core/membership/messages.py
+++ b/src/azurefold/core/membership/messages.py
@@ -24,7 +24,7 @@
 ]
 
 SKIP_CONTROL_LIST = 0
-"""Digest of a sender that wants no list of controls in the reply."""
+"""Value of a message's digest of controls if the reply should contain no list."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -75,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Source:
-    """Authenticated sender of a message, and the address that it came from."""
+    """Authenticated sender of a message; ``origin`` is the address it came from."""
 
     name: str
     incarnation: int
@@ -152,7 +152,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Changes:
-    """Changes sent between controls, a fifth of the size of the complete records."""
+    """Changes sent between controls, at a fifth of the size of complete records."""
 
     changes: tuple[Change, ...]
 
@@ -174,7 +174,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Summary:
-    """All records of one differing bucket of the sender."""
+    """Name hashes and fingerprints of all records in one differing bucket."""
 
     bucket: int
     entries: tuple[SummaryEntry, ...]
@@ -182,7 +182,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Want:
-    """Request for complete records, by the hashes of their names."""
+    """Request for complete records; ``names`` are the hashes of their names."""
 
     names: tuple[int, ...]
 
--- a/src/azurefold/core/membership/presence.py
+++ b/src/azurefold/core/membership/presence.py
@@ -1,4 +1,8 @@
-"""Reports of an endpoint to the control processes of its data centre."""
+"""Reports of an endpoint to its owners, control processes of its data centre.
+
+Like the directory, this module does no input or output: it takes messages and the time
+as arguments and returns the messages to send.
+"""
 
 from dataclasses import dataclass, replace
 
@@ -24,6 +28,10 @@
 
 @dataclass(slots=True)
 class _Owner:
+    """Times of an owner: its last message, or its selection before the first one, and
+    the end of its exclusion, 0 if it is not excluded.
+    """
+
     last_message_at: Millis
     excluded_until: Millis = 0
 
@@ -38,9 +46,10 @@
     now : int
         The present time in milliseconds.
     seeds : tuple of str
-        Datagram addresses of some controls, from the settings.
+        Datagram addresses of some controls, from the settings. They are used while no
+        owner can be selected.
     timing : Timing
-        Must be the same as that of the controls.
+        Intervals and budgets; they must be the same as those of the controls.
     """
 
     def __init__(
@@ -61,7 +70,7 @@
 
     @property
     def own(self) -> Endpoint:
-        """The most recently announced record."""
+        """This endpoint's record, as most recently announced."""
         return self._own
 
     @property
@@ -72,7 +81,8 @@
     def announce(self, state: State, now: Millis) -> list[Send]:
         """Announce a new state immediately, and twice more in case of loss.
 
-        Neither leaving nor being gone can be undone.
+        A state is never followed by an earlier one, so neither leaving nor being gone
+        can be undone.
         """
         state = max(state, self._own.announced)
         if state is self._own.announced:
@@ -91,7 +101,7 @@
         return self.tick(now)
 
     def set_load(self, load: int) -> None:
-        """Set the load that the next heartbeats report, in hundredths."""
+        """Set the load that the next heartbeats report, in hundredths of capacity."""
         self._load = load
 
     def receive(self, message: Message, origin: str, now: Millis) -> list[Send]:
@@ -100,14 +110,14 @@
             self._owners[origin] = _Owner(last_message_at=now)
         match message:
             case Probe():
-                # The announcement has no digest, so that the reply contains no list.
-                # Otherwise the two sides of a network partition would alternately
-                # send their lists, and a list is the largest of all messages.
+                # The announcement has no digest, so that the reply contains no list of
+                # controls. Otherwise the two sides of a network partition would
+                # alternately send their lists, which are the largest of all messages.
                 return [Send(origin, Announcement(self._own))]
             case Reply(controls, announcement_wanted):
                 if controls:
                     self._controls = controls
-                return [self._announcement(origin)] if announcement_wanted else []
+                return [self._build_announcement(origin)] if announcement_wanted else []
             case _:
                 return []
 
@@ -115,30 +125,34 @@
         """Return the messages that are due; call it every 250 ms."""
         if now < self._next_send_at:
             return []
-        targets = self._targets(now)
+        targets = self._select_targets(now)
         if self._remaining_announcements:
             self._remaining_announcements -= 1
             self._next_send_at = now + _REPEAT_INTERVAL_MS
-            return [self._announcement(target) for target in targets]
+            return [self._build_announcement(target) for target in targets]
         self._next_send_at = now + self._timing.heartbeat_interval_ms
-        # One owner is enough to receive a new list, the largest of all messages. The
-        # owner with the most recent message is selected.
+        # A list of controls is the largest of all messages, so it is requested from one
+        # owner only: the one that sent a message most recently.
         list_source = max(
             targets,
             key=lambda target: self._owners[target].last_message_at,
             default=None,
         )
         return [
-            self._heartbeat(target, now, target == list_source) for target in targets
+            self._build_heartbeat(target, now, target == list_source)
+            for target in targets
         ]
 
-    def _targets(self, now: Millis) -> tuple[str, ...]:
+    def _select_targets(self, now: Millis) -> tuple[str, ...]:
         usable = [
-            control for control in self._controls if not self._is_excluded(control, now)
+            control
+            for control in self._controls
+            if not self._update_exclusion(control, now)
         ]
         chosen = select_owners(self._own.name, usable, self._timing.owner_count)
         if not chosen:
-            # All known controls may have been replaced in the meantime.
+            # No owner is usable. All known controls may have been replaced in the
+            # meantime, so the seeds are contacted too.
             chosen = tuple(dict.fromkeys((*self._seeds, *self._controls)))
         kept = {target: self._owners.get(target) for target in chosen}
         excluded = {
@@ -150,7 +164,8 @@
         self._owners = {**excluded, **current}
         return chosen
 
-    def _is_excluded(self, control: str, now: Millis) -> bool:
+    def _update_exclusion(self, control: str, now: Millis) -> bool:
+        """Start or end the exclusion of a control; return whether it is excluded."""
         owner = self._owners.get(control)
         if owner is None:
             return False
@@ -165,7 +180,9 @@
         self._owners[control] = _Owner(now, now + self._timing.exclude_for_ms)
         return True
 
-    def _heartbeat(self, target: str, now: Millis, should_request_list: bool) -> Send:
+    def _build_heartbeat(
+        self, target: str, now: Millis, should_request_list: bool
+    ) -> Send:
         silent_for = now - self._owners[target].last_message_at
         heartbeat = Heartbeat(
             version=self._own.version,
@@ -178,6 +195,6 @@
         )
         return Send(target, heartbeat)
 
-    def _announcement(self, target: str) -> Send:
+    def _build_announcement(self, target: str) -> Send:
         digest = controls_digest(self._controls)
         return Send(target, Announcement(self._own, digest))
--- a/src/azurefold/core/membership/registry.py
+++ b/src/azurefold/core/membership/registry.py
@@ -1,4 +1,4 @@
-"""Registry of the endpoints in a store, and which of them may get new work.
+"""Registry of the endpoints that a store lists, and which of them may get new work.
 
 The store removes the entry of an endpoint that has been silent for a while. During an
 outage of the store it receives no heartbeats, so entries of healthy endpoints lapse
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RegistryPolicy:
-    """Grace periods for entries that were removed or brought back in large numbers.
+    """Grace periods for entries that were removed together or restored.
 
     Parameters
     ----------
@@ -59,7 +59,10 @@
 
 @dataclass(slots=True)
 class EndpointRegistry:
-    """Entries by name, including lapsed ones that are still in use.
+    """Entries by name, including removed ones that are still in use.
+
+    A removed entry is retained for a grace period if its endpoint may be healthy. An
+    entry is withheld, that is, not in use, while it may be outdated after a restore.
 
     Parameters
     ----------
@@ -74,12 +77,13 @@
     departures: Departures = field(default_factory=Departures)
     is_loaded: bool = False
     _entries: dict[str, EndpointEntry] = field(default_factory=dict)
-    _lapsed_until: dict[str, Millis] = field(default_factory=dict)
+    _retained_until: dict[str, Millis] = field(default_factory=dict)
     _withheld: dict[str, _Withheld] = field(default_factory=dict)
-    _confirmed: set[str] = field(default_factory=set)
+    # Endpoints whose entries are known to be current since the last restore.
+    _verified_names: set[str] = field(default_factory=set)
     _is_store_lost: bool = False
     _outage_grace_until: Millis = 0
-    _recovered_at: Millis = 0
+    _recovery_ends_at: Millis = 0
     _is_first_read_after_restore: bool = False
 
     @property
@@ -93,9 +97,9 @@
         return frozenset(name for name, entry in self._entries.items() if entry.leaving)
 
     @property
-    def lapsed(self) -> frozenset[str]:
+    def retained(self) -> frozenset[str]:
         """Endpoints whose entries were removed but are still in use."""
-        return frozenset(self._lapsed_until)
+        return frozenset(self._retained_until)
 
     @property
     def withheld(self) -> frozenset[str]:
@@ -116,25 +120,30 @@
         self._is_store_lost = True
 
     def on_store_regained(self, now: Millis) -> None:
-        """Start the grace period once the store answers again."""
+        """Start the grace period once the store answers again after an outage."""
         if self._is_store_lost:
             self._is_store_lost = False
             self._outage_grace_until = now + self.policy.outage_grace_ms
 
     def end_outage_grace(self, now: Millis) -> None:
-        """End the grace period: the store was up, so no removed entry had lapsed."""
+        """End the grace period, because only this process could not reach the store.
+
+        The store kept receiving heartbeats, so no entry has lapsed for lack of them.
+        The next :meth:`tick` deletes all entries that were removed and are retained.
+        Without an outage or a grace period nothing changes.
+        """
         if not self._is_store_lost and now >= self._outage_grace_until:
             return
         self._is_store_lost = False
         self._outage_grace_until = now
-        self._lapsed_until = dict.fromkeys(self._lapsed_until, now)
+        self._retained_until = dict.fromkeys(self._retained_until, now)
 
     def on_store_restored(self, now: Millis) -> None:
         """Start the recovery from a restore, before the store is read again."""
         self.departures.on_store_restored()
-        self._recovered_at = now + self.policy.recovery_ms
+        self._recovery_ends_at = now + self.policy.recovery_ms
         self._is_first_read_after_restore = True
-        self._confirmed.clear()
+        self._verified_names.clear()
 
     def replace_all(
         self,
@@ -142,15 +151,28 @@
         now: Millis,
         known_at: Millis | None = None,
     ) -> list[str]:
-        """Apply a full list of entries; return the restarted endpoints."""
+        """Apply a full list of entries.
+
+        Parameters
+        ----------
+        entries : iterable of EndpointEntry
+        now : int
+        known_at : int, optional
+            When unlisted entries were last known to exist; by default now.
+
+        Returns
+        -------
+        list of str
+            Endpoints that have restarted under the same name.
+        """
         self.is_loaded = True
         listed = {entry.name: entry for entry in entries}
         gone = [name for name in self._entries if name not in listed]
         if self._is_first_read_after_restore:
-            self._keep_unlisted(gone, now)
+            self._retain_unlisted(gone, now)
         if self.departures.is_recovering:
-            # Not listed since the restore: the older copy lacks their entries.
-            gone = [name for name in gone if name not in self._lapsed_until]
+            # Endpoints retained because the older copy lacks their entries.
+            gone = [name for name in gone if name not in self._retained_until]
         self.remove(gone, now, known_at)
         reported = {name for name in self._withheld if name not in self.departed}
         accepted = [
@@ -164,17 +186,17 @@
         }
         return self._apply(accepted, is_written=False)
 
-    def _keep_unlisted(self, names: Iterable[str], now: Millis) -> None:
-        """Keep endpoints that a restored store lacks until they register again."""
+    def _retain_unlisted(self, names: Iterable[str], now: Millis) -> None:
+        """Retain endpoints that a restored store lacks until they register again."""
         self._is_first_read_after_restore = False
         for name in names:
             if not self._entries[name].leaving:
-                self._lapsed_until.setdefault(name, now + self.policy.outage_grace_ms)
+                self._retained_until.setdefault(name, now + self.policy.outage_grace_ms)
 
     def put(self, entries: Iterable[EndpointEntry]) -> list[str]:
         """Apply newly written entries.
 
-        An entry from an earlier start than the known one is ignored.
+        An entry from an earlier start of the process than the known one is ignored.
 
         Returns
         -------
@@ -182,7 +204,7 @@
             Endpoints that have restarted under the same name.
         """
         entries = tuple(entries)
-        self._confirmed.update(entry.name for entry in entries)
+        self._verified_names.update(entry.name for entry in entries)
         return self._apply(entries, is_written=True)
 
     def withhold_reported(self, names: Iterable[str], now: Millis) -> list[str]:
@@ -203,7 +225,7 @@
             if known is not None and known.reported_until is not None:
                 self._withheld[name] = replace(known, reported_until=until)
             entry = self._entries.get(name)
-            if entry is None or entry.leaving or name in self._confirmed:
+            if entry is None or entry.leaving or name in self._verified_names:
                 continue
             self._forget(name)
             self._withheld[name] = _Withheld(
@@ -231,7 +253,7 @@
 
     def _activate(self, entry: EndpointEntry) -> None:
         self._entries[entry.name] = entry
-        self._lapsed_until.pop(entry.name, None)
+        self._retained_until.pop(entry.name, None)
         self._withheld.pop(entry.name, None)
         if entry.leaving:
             self.departures.record(entry)
@@ -262,26 +284,28 @@
             self._withheld.pop(name, None)
         gone = [name for name in removed if name in self._entries]
         since = now if known_at is None else known_at
-        kept_until = {name: self._keep_until(name, gone, now, since) for name in gone}
-        for name, until in kept_until.items():
+        retention_ends = {
+            name: self._compute_retention_end(name, gone, now, since) for name in gone
+        }
+        for name, until in retention_ends.items():
             self.departures.record(self._entries[name])
             if until <= now:
                 self._forget(name)
             else:
-                self._lapsed_until.setdefault(name, until)
+                self._retained_until.setdefault(name, until)
 
     def tick(self, now: Millis) -> list[str]:
-        """Delete entries whose grace period has ended, and release withheld ones.
+        """Delete entries after their grace period, and use withheld ones when due.
 
         Returns
         -------
         list of str
             Endpoints that were deleted or are in use again.
         """
-        expired = [name for name, until in self._lapsed_until.items() if until <= now]
+        expired = [name for name, until in self._retained_until.items() if until <= now]
         for name in expired:
             self._forget(name)
-        if self.departures.is_recovering and now >= self._recovered_at:
+        if self.departures.is_recovering and now >= self._recovery_ends_at:
             self.departures.end_recovery()
         released = [
             withheld
@@ -291,7 +315,7 @@
         for withheld in released:
             self._activate(withheld.entry)
             if withheld.reported_until is None:
-                self._confirmed.add(withheld.entry.name)
+                self._verified_names.add(withheld.entry.name)
         return expired + [withheld.entry.name for withheld in released]
 
     def _should_release(self, withheld: _Withheld, now: Millis) -> bool:
@@ -301,7 +325,7 @@
             withheld.entry, is_written=withheld.is_written
         )
 
-    def _keep_until(
+    def _compute_retention_end(
         self, name: str, gone: list[str], now: Millis, since: Millis
     ) -> Millis:
         # After a store outage of more than three heartbeats all entries have lapsed.
@@ -331,5 +355,5 @@
 
     def _forget(self, name: str) -> None:
         del self._entries[name]
-        self._lapsed_until.pop(name, None)
-        self._confirmed.discard(name)
+        self._retained_until.pop(name, None)
+        self._verified_names.discard(name)
--- a/src/azurefold/core/membership/snapshot.py
+++ b/src/azurefold/core/membership/snapshot.py
@@ -1,4 +1,4 @@
-"""Snapshot of all endpoints for the entry process."""
+"""Snapshot of all endpoints, which a control sends to the entry process."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
--- a/src/azurefold/core/membership/store_clock.py
+++ b/src/azurefold/core/membership/store_clock.py
@@ -56,7 +56,7 @@
             self._offset = max(self._offset, offset)
 
     def reset(self) -> None:
-        """Discard all offsets, for instance because another store is used from now."""
+        """Discard all offsets, for instance before another store is used."""
         self._offset = self._previous_offset = None
 
     def at(self, now: Millis) -> Millis | None:
--- a/src/azurefold/core/membership/table_refresh.py
+++ b/src/azurefold/core/membership/table_refresh.py
@@ -32,7 +32,12 @@
 
 
 class RefreshReason(StrEnum):
-    """Reason to read a table again."""
+    """Reason to read a table again.
+
+    ``BEHIND``: another process has a newer change. ``STILL_BEHIND``: it does, and the
+    previous refresh for this reason has not changed the applied version. ``AGED``: the
+    last confirmation is too old.
+    """
 
     BEHIND = "behind"
     STILL_BEHIND = "still_behind"
@@ -48,8 +53,8 @@
     slot_ms : int
         Interval between two answers of the store to processes that exchange watermarks.
     max_age_ms : int
-        Age from which a process refreshes its copy. A process that receives a watermark
-        in the remainder of this time after a poll slot does not have to refresh.
+        Age from which a process refreshes its copy. It exceeds ``slot_ms``, so that the
+        watermark of the next poll slot has time to arrive and no refresh is needed.
     max_jitter_ms : int
         Maximum random addition to ``max_age_ms``. Within it the first process to
         refresh sends its watermark to the others.
@@ -131,7 +136,9 @@
     Parameters
     ----------
     freshness : TableFreshness
+        Freshness of the table's local copy.
     times : RefreshTimes
+        Limits of its age.
     """
 
     freshness: TableFreshness
--- a/src/azurefold/gateway/store/news.py
+++ b/src/azurefold/gateway/store/news.py
@@ -212,7 +212,7 @@
                 all=len(entries),
                 row=max((row.version for row in rows), default=0),
             )
-        lapsed = state.registry.lapsed
+        lapsed = state.registry.retained
         if lapsed:
             log_event(_log, "endpoints_lapsed", endpoints=len(lapsed))
         withheld = state.registry.withheld & {row.key for row in rows}
--- a/tests/core/membership/test_directory.py
+++ b/tests/core/membership/test_directory.py
@@ -73,8 +73,8 @@
     for _ in range(400):
         network.run(250)
         for node in network.controls():
-            watches = node.machine._failure_detector
-            if node is not cut_off_owner and watches.has_recent_message(
+            failure_detector = node.machine._failure_detector
+            if node is not cut_off_owner and failure_detector.has_recent_message(
                 name, network.now
             ):
                 assert _state(node, name) is State.SERVING
--- a/tests/core/membership/test_lapsed_entries.py
+++ b/tests/core/membership/test_lapsed_entries.py
@@ -72,7 +72,7 @@
 def test_entries_that_are_written_again_have_no_grace_period(registry):
     registry.remove([f"e{number}" for number in range(5)], now=10)
     registry.put([entry(number) for number in range(5)])
-    assert registry.lapsed == frozenset()
+    assert registry.retained == frozenset()
     assert registry.tick(now=10_000) == []
 
 
--- a/tests/core/membership/test_leaving.py
+++ b/tests/core/membership/test_leaving.py
@@ -12,8 +12,8 @@
     Refused,
     WorkState,
     admit_work,
-    drain_progress,
     finish_work,
+    get_drain_progress,
     start_leaving,
 )
 from azurefold.core.membership.messages import Announcement, Probe, Reply
@@ -35,13 +35,13 @@
             assert isinstance(result, Refused if is_leaving else Admitted)
             if isinstance(result, Admitted):
                 work, admitted = result.work, admitted + 1
-    is_done = isinstance(drain_progress(work, len(events)), DrainFinished)
+    is_done = isinstance(get_drain_progress(work, len(events)), DrainFinished)
     assert is_done == (is_leaving and admitted == finished)
 
 
 def test_drain_progress_counts_work_in_flight():
     work = start_leaving(WorkState(in_flight=2), now=100)
-    assert drain_progress(work, 350) == Draining(in_flight=2, elapsed_ms=250)
+    assert get_drain_progress(work, 350) == Draining(in_flight=2, elapsed_ms=250)
     assert work.state is State.LEAVING
     assert finish_work(finish_work(work)).state is State.GONE
 
--- a/tests/core/membership/test_table_freshness.py
+++ b/tests/core/membership/test_table_freshness.py
@@ -124,15 +124,16 @@
 
 
 def test_an_answer_after_a_clock_restart_confirms_the_copy(freshness):
-    """Guards against a copy that never ages after the store's clock restarted."""
+    """Guards against a copy that keeps a confirmation from before a clock restart."""
     freshness.record_changes(version=12, newest_version=None, store_ms=100)
     assert freshness.age(2_100) == 2_000
 
 
 def test_a_confirmation_ahead_of_the_clock_does_not_count_as_recent(freshness):
-    """Guards against a table that never ages once the other table was answered.
+    """Guards against a table whose age stays 0 after the store's clock restarted.
 
-    Both tables share the clock, so an answer for one resets it for both.
+    Both tables share a process's estimate of the clock. An answer for one table resets
+    it, while the other table's confirmation still has a time before the restart.
     """
     clock = StoreClock()
     clock.observe(store_ms=5_100, sent=0, received=0)
@@ -144,9 +145,9 @@
 def test_an_outage_is_local_if_another_process_was_answered(freshness):
     freshness.record_failed_call()
     freshness.merge(TableWatermark(1, 12, 9_000, answered_since=4_000))
-    own = TableWatermark(1, 12, 9_000, answered_since=4_000)
-    assert freshness.is_outage_local(own, store_now=9_200)
-    assert not freshness.is_outage_local(own, store_now=12_000)
+    peer_watermark = TableWatermark(1, 12, 9_000, answered_since=4_000)
+    assert freshness.is_outage_local(peer_watermark, store_now=9_200)
+    assert not freshness.is_outage_local(peer_watermark, store_now=12_000)
 
 
 @pytest.mark.parametrize("answered_since", [None, 5_101])
