--- a/src/azurefold/core/objectives/burn.py
+++ b/src/azurefold/core/objectives/burn.py
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Offender:
-    """An organisation or endpoint whose requests missed the objective most often.
+    """An organisation or endpoint with many requests that missed the objective.
 
     Parameters
     ----------
@@ -94,7 +94,7 @@
     ends_window : int
         Window whose burn rate is assumed to continue.
     worst_organisations, worst_endpoints : tuple of Offender
-        Those with most bad requests in the period, worst first.
+        Those with the most bad requests in the period, worst first.
     """
 
     service: str
@@ -110,7 +110,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _ScrapeTimes:
-    """Times of the last two scrapes of a process."""
+    """Times of the last two scrapes of a process; ``previous`` is None after one."""
 
     previous: Millis | None
     last: Millis
@@ -118,7 +118,15 @@
 
 @dataclass(slots=True)
 class ObjectiveLog:
-    """Samples of all sources for one objective of one service."""
+    """Samples of all sources for one objective of one service.
+
+    Parameters
+    ----------
+    service : str
+        Name of the service.
+    objective : Objective
+        Objective to which the counts refer.
+    """
 
     service: str
     objective: Objective
--- a/src/azurefold/core/routes/model.py
+++ b/src/azurefold/core/routes/model.py
@@ -40,7 +40,8 @@
     Parameters
     ----------
     name, host, prefix : str
-        The prefix starts and ends with a slash.
+        Name of the route, and the host and path prefix of its requests. The prefix
+        starts and ends with a slash.
     kind : AnswerKind
         Kind of the answers.
     destinations : tuple of Destination
@@ -48,10 +49,10 @@
     timeout_ms : int
         Maximum time until the answer is complete.
     objective_ms : int
-        Time up to which an answer, or the first event of a stream, is on time.
+        Longest time after which an answer, or the first event of a stream, is on time.
     event_gap_ms : int
-        Time between two events up to which a stream is on time; 0 if the route sets
-        no such limit.
+        Longest time between two events of a stream that is on time; 0 if the route
+        sets no such limit.
     priority : int
         Requests with lower numbers go first; 0 is the highest priority.
     max_attempts : int
@@ -110,7 +111,7 @@
     link_mbps : float
         Rate at which a rank loads weights, in megabits per second.
     form_ms : int
-        Time from the return of a replaced rank until its group runs again.
+        Milliseconds from the return of a replaced rank until its group runs again.
     """
 
     slots: int
--- a/src/azurefold/core/routing/backoffs.py
+++ b/src/azurefold/core/routing/backoffs.py
@@ -25,7 +25,7 @@
         return True
 
     def active(self, now: Millis) -> dict[str, Millis]:
-        """Drop expired backoffs and return the end times of the others."""
+        """Discard expired backoffs; return the end times of the others by endpoint."""
         self._until = {name: at for name, at in self._until.items() if at > now}
         return dict(self._until)
 
--- a/src/azurefold/core/routing/pool_state.py
+++ b/src/azurefold/core/routing/pool_state.py
@@ -129,7 +129,7 @@
         self._members.share_slots(count, position)
 
     def set_slots(self, slots: int) -> None:
-        """Set how many requests each endpoint may have from all nodes."""
+        """Set how many slots each endpoint has for all nodes together."""
         self._members.set_slots(slots)
 
     def set_distance(self, endpoint: str, distance_ms: Millis) -> None:
