--- a/src/azurefold/core/admission/deficit_round_robin.py
+++ b/src/azurefold/core/admission/deficit_round_robin.py
@@ -190,8 +190,8 @@
         return None
 
     def _skip_rounds(self) -> None:
-        # Adds all rounds in which nothing is served in one step. Otherwise a
-        # request that costs many quanta would take as many iterations in peek().
+        # Adds in one step all rounds in which nothing is served. Otherwise a request
+        # that costs many quanta would take as many iterations in peek().
         rounds = min(
             (next(iter(backlog.items.values())).tokens - backlog.deficit - 1)
             // self._quantum_of(organisation)
--- a/src/azurefold/core/admission/drain.py
+++ b/src/azurefold/core/admission/drain.py
@@ -10,6 +10,7 @@
 _DECAY_TIME_MS: Millis = 4_000
 # No rate is reported for less observed busy time than this.
 _MIN_BUSY_MS = 200.0
+# Bounds of the retry delay before jitter is added.
 _MIN_RETRY_AFTER_MS: Millis = 200
 _MAX_RETRY_AFTER_MS: Millis = 30_000
 
@@ -26,8 +27,8 @@
         self._busy_ms = 0.0
         self._busy_since: Millis | None = None
 
-    def record_waiting(self, now: Millis) -> None:
-        """Record that at least one request waits from ``now`` on."""
+    def start_busy_period(self, now: Millis) -> None:
+        """Count the time from ``now`` on, unless a busy period has already started."""
         if self._busy_since is None:
             self._busy_since = now
 
@@ -43,27 +44,29 @@
         is_more_waiting : bool
             Whether requests remain in the queue.
         """
-        self._advance(now)
+        self._decay_observations(now)
         self._dequeued_tokens += tokens
         if not is_more_waiting:
             self._busy_since = None
 
-    def record_empty(self, now: Millis) -> None:
-        """Record that no request waits any more, although none was dequeued."""
-        self._advance(now)
+    def end_busy_period(self, now: Millis) -> None:
+        """Stop counting time until the next busy period starts."""
+        self._decay_observations(now)
         self._busy_since = None
 
     def compute_rate(self, now: Millis) -> float | None:
         """Return tokens per millisecond, or ``None`` after too little busy time."""
         # The time since the last dequeue counts too. Otherwise a queue that no
         # longer drains would keep reporting its old rate.
-        undecayed_ms = 0 if self._busy_since is None else max(0, now - self._busy_since)
-        busy_ms = self._busy_ms + undecayed_ms
+        since_update_ms = (
+            0 if self._busy_since is None else max(0, now - self._busy_since)
+        )
+        busy_ms = self._busy_ms + since_update_ms
         if busy_ms < _MIN_BUSY_MS:
             return None
         return self._dequeued_tokens / busy_ms
 
-    def _advance(self, now: Millis) -> None:
+    def _decay_observations(self, now: Millis) -> None:
         if self._busy_since is None:
             return
         elapsed_ms = max(0, now - self._busy_since)
@@ -76,8 +79,8 @@
 def jitter_retry_after(wait_ms: float, jitter: float) -> Millis:
     """Return the milliseconds after which a refused caller should retry.
 
-    The delay lies between ``wait_ms`` and twice that. Callers with the same delay
-    would all retry at the same time.
+    The delay lies between the wait, limited to the bounds of this module, and twice
+    that. Without jitter, all refused callers would retry at the same time.
 
     Parameters
     ----------
--- a/src/azurefold/core/admission/queue.py
+++ b/src/azurefold/core/admission/queue.py
@@ -56,7 +56,7 @@
 
 
 class FairQueue:
-    """Requests that wait for an endpoint on one node.
+    """The requests that wait for an endpoint on one node, in two priority classes.
 
     Call :meth:`expire` before :meth:`take` with the same ``now``, and answer the
     requests that it returns at once.
@@ -129,14 +129,14 @@
         """
         self._is_paused = True
         for drain_rate in self._drain_rates.values():
-            drain_rate.record_empty(now)
+            drain_rate.end_busy_period(now)
 
     def resume(self, now: Millis) -> None:
-        """Measure the drain rate again, as requests can be dispatched."""
+        """Resume measuring the drain rate once requests can be dispatched again."""
         self._is_paused = False
         for priority, queue in self._class_queues.items():
             if len(queue):
-                self._drain_rates[priority].record_waiting(now)
+                self._drain_rates[priority].start_busy_period(now)
 
     def take(self, now: Millis, *, include_drafts: bool = True) -> QueueItem | None:
         """Remove and return the next request, or ``None`` if there is none.
@@ -195,7 +195,7 @@
     def next_expiry(self) -> Millis | None:
         """Return the time by which :meth:`expire` must be called, if any."""
         starts = self._latest_starts
-        # Entries of requests that have left the queue stay in the heap until here.
+        # Requests that leave the queue stay in the heap until they reach its top.
         while starts and not self._is_queued(*starts[0]):
             heappop(starts)
         return starts[0][0] + 1 if starts else None
@@ -225,8 +225,8 @@
         queue = self._class_queues[item.priority]
         if queue.length_of(item.organisation) >= self._policy.max_per_organisation:
             return RefusalReason.ORGANISATION_FULL
-        expected_wait = 0.0 if self._is_paused else self.estimate_wait(item, now)
-        if now + expected_wait > item.latest_start:
+        expected_wait_ms = 0.0 if self._is_paused else self.estimate_wait(item, now)
+        if now + expected_wait_ms > item.latest_start:
             return RefusalReason.DEADLINE
         return None
 
@@ -277,14 +277,14 @@
         self._class_queues[item.priority].push(item)
         heappush(self._latest_starts, (item.latest_start, item.request_id))
         if not self._is_paused:
-            self._drain_rates[item.priority].record_waiting(now)
+            self._drain_rates[item.priority].start_busy_period(now)
 
     def _remove(self, item: QueueItem, now: Millis) -> None:
         del self._items[item.request_id]
         queue = self._class_queues[item.priority]
         queue.remove(item)
         if not len(queue):
-            self._drain_rates[item.priority].record_empty(now)
+            self._drain_rates[item.priority].end_busy_period(now)
 
     def _remove_expired(self, now: Millis) -> None:
         while (expiry := self.next_expiry()) is not None and expiry <= now:
