--- a/src/azurefold/agent/runner.py
+++ b/src/azurefold/agent/runner.py
@@ -159,7 +159,7 @@
     def forget_old(self) -> None:
         """Free answers that nobody may ask for any more."""
         now = self.clock.now()
-        for attempt_id in self.ledger.expired_texts(now):
+        for attempt_id in self.ledger.find_expired_texts(now):
             self._buffers.pop(attempt_id, None)
         self.ledger.evict_expired(now)
 
--- a/src/azurefold/core/attempts/ledger.py
+++ b/src/azurefold/core/attempts/ledger.py
@@ -208,7 +208,7 @@
         self._ended_at[attempt_id] = now
         self._running -= 1
 
-    def expired_texts(self, now: Millis) -> list[str]:
+    def find_expired_texts(self, now: Millis) -> list[str]:
         """Return the ids of ended attempts whose answer text is to be removed.
 
         The ledger keeps their ids for longer. Without them, a repeated dispatch
@@ -224,8 +224,8 @@
     def evict_expired(self, now: Millis) -> None:
         """Remove attempt ids whose retention time is over.
 
-        The outcome of an id that is not newer than the removed ones is unknown
-        from then on, because such an id may be one of them.
+        From then on the ledger refuses an unknown id that is not certainly newer than
+        the removed ones, and reports its outcome as unknown: it may be one of them.
         """
         for times in (self._ended_at, self._tombstones):
             while times and now - next(iter(times.values())) > _ID_RETENTION_MS:
--- a/tests/core/attempts/test_crashes.py
+++ b/tests/core/attempts/test_crashes.py
@@ -51,7 +51,7 @@
 
 @pytest.mark.parametrize("answered_at", [500, 1_100, 1_500])
 def test_an_answer_clears_a_request(tracker, answered_at):
-    """Guards against refusing a request that was running during two crashes."""
+    """Guards against refusing a request that twice ran beside a crashing request."""
     events = [(1_000, 0), (1_400, 1), (answered_at, None)]
     for now, endpoint in sorted(events, key=lambda event: event[0]):
         if endpoint is None:
