--- a/src/azurefold/core/configuration/acceptance.py
+++ b/src/azurefold/core/configuration/acceptance.py
@@ -43,7 +43,7 @@
     current : HeadId or None
         Id of the head that is in the table now.
     edit_id : str
-        Edit that got the requested revision; empty if none did.
+        Id of the edit that got the requested revision; empty if none did.
     """
 
     current: HeadId | None
@@ -139,7 +139,7 @@
         self._head = head
         self._deadline = deadline
         self._retry_ms = retry_ms
-        self._has_unknown_attempt = False
+        self._has_lost_answer = False
 
     def start(self) -> Submit:
         """Return the first action."""
@@ -153,7 +153,7 @@
             case WriteConflict():
                 return self._resolve_conflict(result)
             case OutcomeUnknown():
-                self._has_unknown_attempt = True
+                self._has_lost_answer = True
                 return self._retry_or_give_up("its answer was lost", now)
             case WriteNotApplied(reason=reason):
                 return self._retry_or_give_up(reason, now)
@@ -164,7 +164,7 @@
         # see "refused" for an edit that is in effect.
         if conflict.edit_id == self._head.edit_id:
             return Accepted(self._head.head_id)
-        if self._has_unknown_attempt and not conflict.edit_id:
+        if self._has_lost_answer and not conflict.edit_id:
             # The table has no edit under the revision, neither this one nor
             # another. The row was pruned or the store was restored, so the
             # outcome can no longer be proved.
@@ -174,6 +174,6 @@
     def _retry_or_give_up(self, reason: str, now: Millis) -> Submit | Outcome:
         if now + self._retry_ms < self._deadline:
             return Submit(self._head, self._retry_ms)
-        if self._has_unknown_attempt:
+        if self._has_lost_answer:
             return AcceptanceUnknown(self._head.head_id)
         return NotAccepted(f"the platform did not take it: {reason}")
--- a/src/azurefold/core/configuration/changes.py
+++ b/src/azurefold/core/configuration/changes.py
@@ -46,7 +46,7 @@
     >>> find_changes({"a": {"x": 1}}, {"a": {"x": 2}})[0].path
     'a.x'
     """
-    return sorted(_walk((), old, new), key=lambda change: change.path)
+    return sorted(_iterate_changes((), old, new), key=lambda change: change.path)
 
 
 def find_changed_names(
@@ -69,7 +69,7 @@
     return tuple(sorted(names))
 
 
-def _walk(path: tuple[str, ...], old: Any, new: Any) -> Iterator[Change]:
+def _iterate_changes(path: tuple[str, ...], old: Any, new: Any) -> Iterator[Change]:
     dotted_path = ".".join(path)
     if old is _ABSENT:
         yield Change(ChangeKind.ADDED, dotted_path, new=new)
@@ -78,6 +78,6 @@
     elif isinstance(old, dict) and isinstance(new, dict):
         for key in old.keys() | new.keys():
             before, after = old.get(key, _ABSENT), new.get(key, _ABSENT)
-            yield from _walk((*path, key), before, after)
+            yield from _iterate_changes((*path, key), before, after)
     elif old != new:
         yield Change(ChangeKind.CHANGED, dotted_path, old, new)
--- a/src/azurefold/core/configuration/follower.py
+++ b/src/azurefold/core/configuration/follower.py
@@ -44,6 +44,9 @@
 class Follower:
     """Keeps one process on the newest accepted configuration.
 
+    It does no I/O: :meth:`handle` takes one event and returns the actions that the
+    caller must perform. The results of these actions come back as events.
+
     Parameters
     ----------
     name, data_centre : str
@@ -59,10 +62,12 @@
         self._lineage = Lineage()
         self._head = NO_HEAD
         self._head_id = NO_HEAD.head_id
-        self._contents: dict[str, bytes] = {}
+        self._contents: dict[str, bytes] = {}  # by section hash
+        # Newer head that each source offered last; removed if a fetch there fails.
         self._offers: dict[Source, HeadId] = {}
+        # Fetched head whose sections are not all held yet.
         self._pending_head: Head | None = None
-        self._fetch_source: Source | None = None
+        self._fetch_source: Source | None = None  # None if no fetch is running
         self._fetch_started_at: Millis = 0
         self._alarms: set[Alarm] = set()
 
@@ -75,7 +80,8 @@
     def sections(self) -> Sections:
         """Section contents of the active head, by section name."""
         return {
-            name: self._contents[hashed] for name, hashed in self._head.sections.items()
+            name: self._contents[section_hash]
+            for name, section_hash in self._head.sections.items()
         }
 
     @property
@@ -86,15 +92,16 @@
     def get_contents(self, hashes: Iterable[str]) -> dict[str, bytes]:
         """Return the requested contents that this process holds, by hash."""
         return {
-            hashed: self._contents[hashed]
-            for hashed in hashes
-            if hashed in self._contents
+            section_hash: self._contents[section_hash]
+            for section_hash in hashes
+            if section_hash in self._contents
         }
 
     def age_ms(self, now: Millis) -> Millis | None:
         """Return the time since the last confirmation by the platform, or ``None``.
 
-        A confirmation is a poll, here or at a peer, that showed nothing newer.
+        A confirmation is a poll, here or at a peer, that showed nothing newer
+        than the active head.
         """
         return self._schedule.age_ms(now)
 
@@ -108,9 +115,9 @@
             case PollFailed():
                 return []
             case HeadFetched(head=head, source=source):
-                return self._on_head(head, source, now)
+                return self._on_head_fetched(head, source, now)
             case SectionsFetched(contents=contents, source=source):
-                return self._on_sections(contents, source, now)
+                return self._on_sections_fetched(contents, source, now)
             case FetchFailed(source=source):
                 return self._on_fetch_failed(source, now)
             case Tick():
@@ -189,12 +196,12 @@
         if not offers:
             self._fetch_source = None
             return []
-        source = max(offers, key=lambda offerer: offers[offerer].revision)
+        source = max(offers, key=lambda candidate: offers[candidate].revision)
         self._fetch_source, self._fetch_started_at = source, now
         self._pending_head = None
         return [FetchHead(source, offers[source], self._head_id.digest)]
 
-    def _on_head(self, head: Head, source: Source, now: Millis) -> list[Action]:
+    def _on_head_fetched(self, head: Head, source: Source, now: Millis) -> list[Action]:
         offer = self._offers.get(source)
         if offer is not None and _has_digest_mismatch(head, offer):
             actions = self._raise_alarm(AlarmKind.DAMAGED, offer)
@@ -205,6 +212,7 @@
                 if source == self._fetch_source
                 else []
             )
+        # A head that is at least as new is pending already.
         if (
             self._pending_head is not None
             and head.revision <= self._pending_head.revision
@@ -216,19 +224,19 @@
     def _apply_or_fetch_sections(self, source: Source, now: Millis) -> list[Action]:
         missing = set(self._pending_head.sections.values()) - self._contents.keys()
         if not missing:
-            return self._apply(now)
+            return self._apply_pending_head(now)
         self._fetch_source, self._fetch_started_at = source, now
         return [FetchSections(source, tuple(sorted(missing)))]
 
-    def _on_sections(
+    def _on_sections_fetched(
         self, contents: dict[str, bytes], source: Source, now: Millis
     ) -> list[Action]:
         # Content that does not match its hash would be applied to a revision it
         # does not belong to, and one revision would have two contents.
         intact = {
-            hashed: data
-            for hashed, data in contents.items()
-            if content_hash(data) == hashed
+            section_hash: data
+            for section_hash, data in contents.items()
+            if content_hash(data) == section_hash
         }
         # Contents are kept even if they arrive after another source was asked.
         # Otherwise a platform slower than the timeout could never be followed.
@@ -236,13 +244,15 @@
         if self._pending_head is None:
             return []
         if self._has_all_sections(self._pending_head):
-            return self._apply(now)
+            return self._apply_pending_head(now)
         return self._on_fetch_failed(source, now)
 
     def _has_all_sections(self, head: Head) -> bool:
-        return all(hashed in self._contents for hashed in head.sections.values())
+        return all(
+            section_hash in self._contents for section_hash in head.sections.values()
+        )
 
-    def _apply(self, now: Millis) -> list[Action]:
+    def _apply_pending_head(self, now: Millis) -> list[Action]:
         head, self._pending_head, self._fetch_source = self._pending_head, None, None
         actions: list[Action] = []
         head_id = head.head_id
@@ -251,7 +261,8 @@
         self._head, self._head_id = head, head_id
         self._lineage.record(head)
         self._contents = {
-            hashed: self._contents[hashed] for hashed in set(head.sections.values())
+            section_hash: self._contents[section_hash]
+            for section_hash in set(head.sections.values())
         }
         offers = self._offers.items()
         self._offers = {
@@ -264,6 +275,8 @@
         return actions + self._fetch_newest_offer(now)
 
     def _is_beyond_chain(self, head: Head) -> bool:
+        # A chain lists a limited number of edits, and none after skipped revisions.
+        # The head may still be built upon the active one, so it raises no alarm.
         return head.revision - self._head.revision > len(head.chain)
 
     def _on_fetch_failed(self, source: Source, now: Millis) -> list[Action]:
@@ -273,8 +286,8 @@
         if self._pending_head is None:
             return self._fetch_newest_offer(now, excluded=source)
         other_sources = [
-            other
-            for other, head_id in self._offers.items()
+            candidate
+            for candidate, head_id in self._offers.items()
             if head_id.revision >= self._pending_head.revision
         ]
         if other_sources:
@@ -317,6 +330,7 @@
 
 
 def _has_digest_mismatch(head: Head, offer: HeadId) -> bool:
+    # A source may return a newer head than it offered; that one has another digest.
     if head.revision != offer.revision or head.edit_id != offer.edit_id:
         return False
     return head.head_id.digest != offer.digest
--- a/src/azurefold/core/configuration/head.py
+++ b/src/azurefold/core/configuration/head.py
@@ -122,7 +122,10 @@
 
 
 def is_descendant_of(head: Head, older: HeadId) -> bool:
-    """Return whether the chain of ``head`` is known to contain ``older``."""
+    """Return whether ``head`` is known to be built upon ``older``.
+
+    The result is also ``False`` if ``older`` lies beyond the chain of ``head``.
+    """
     if older.revision == NO_HEAD.revision:
         return True
     position = head.revision - older.revision - 1
@@ -182,9 +185,9 @@
 def compute_delta(base: Head, head: Head) -> HeadDelta:
     """Return the delta that turns ``base`` into ``head``."""
     changed = {
-        name: hashed
-        for name, hashed in head.sections.items()
-        if base.sections.get(name) != hashed
+        name: section_hash
+        for name, section_hash in head.sections.items()
+        if base.sections.get(name) != section_hash
     }
     removed = sorted(base.sections.keys() - head.sections.keys())
     return HeadDelta(
--- a/src/azurefold/core/configuration/messages.py
+++ b/src/azurefold/core/configuration/messages.py
@@ -58,8 +58,9 @@
     peer : Peer
         The sender.
     age_ms : int or None
-        Time since the platform was last polled, by the peer itself or by a
-        process whose announcement it received; ``None`` if unknown.
+        Time since a poll of the platform, by the peer or by a process whose
+        announcement it received, last showed nothing newer than the head that
+        the peer held; ``None`` if there was none.
     """
 
     head_id: HeadId
@@ -201,9 +202,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Announce:
-    """Announce the applied head and its age to peers.
+    """Announce the applied head to peers.
 
     Announcements are soft state: a lost one only delays peers.
+
+    Parameters
+    ----------
+    head_id : HeadId
+        The head that this process has applied.
+    age_ms : int or None
+        As in :class:`AnnouncementReceived`, with this process as the peer.
     """
 
     head_id: HeadId
@@ -225,7 +233,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Alarm:
-    """A condition reported to operators, once for each kind and pair of heads."""
+    """A condition reported to operators, once for each kind and pair of heads.
+
+    Parameters
+    ----------
+    kind : AlarmKind
+        Why an operator has to act.
+    held : HeadId
+        The head that this process held when it raised the alarm.
+    received : HeadId
+        The head that caused the alarm.
+    """
 
     kind: AlarmKind
     held: HeadId
--- a/src/azurefold/core/configuration/schedule.py
+++ b/src/azurefold/core/configuration/schedule.py
@@ -69,13 +69,11 @@
     def is_due(self, tick: Tick, now: Millis) -> bool:
         """Return whether to poll now; if so, record the poll as started."""
         is_poller = self._name in choose_pollers(tick.live_controls, self._data_centre)
-        last_activity_at = self._find_last_activity(now)
+        last_checked_at = self._find_last_check(now)
         if self._due_at is None:
-            self._due_at = last_activity_at + self._compute_delay(
-                is_poller, tick.jitter
-            )
+            self._due_at = last_checked_at + self._compute_delay(is_poller, tick.jitter)
         if is_poller:
-            next_poll_at = last_activity_at + self._policy.poll_interval_ms
+            next_poll_at = last_checked_at + self._policy.poll_interval_ms
             self._due_at = min(self._due_at, next_poll_at)
         if now < self._due_at:
             return False
@@ -83,7 +81,8 @@
         self._due_at = None
         return True
 
-    def _find_last_activity(self, now: Millis) -> Millis:
+    def _find_last_check(self, now: Millis) -> Millis:
+        # A check is a poll by this process, also a failed one, or a confirmation.
         known_times = [
             at for at in (self._confirmed_at, self._polled_at) if at is not None
         ]
--- a/tests/core/configuration/simulated_site.py
+++ b/tests/core/configuration/simulated_site.py
@@ -213,7 +213,11 @@
                 held = self.table.objects
         elif self.can_reach(name, action.source.name):
             held = self.followers[action.source.name].get_contents(action.hashes)
-        contents = {hashed: held[hashed] for hashed in action.hashes if hashed in held}
+        contents = {
+            section_hash: held[section_hash]
+            for section_hash in action.hashes
+            if section_hash in held
+        }
         if self.should_corrupt_next and contents:
             self.should_corrupt_next = False
             contents[next(iter(contents))] = b"damaged"
--- a/tests/core/configuration/test_configuration_stateful.py
+++ b/tests/core/configuration/test_configuration_stateful.py
@@ -1,7 +1,7 @@
 """Followers and acceptance under concurrent operators, lost answers and partitions.
 
 Guards against an accepted configuration that is reverted in one data centre, and
-against an operator who is told a wrong outcome. Hypothesis draws sequences of the
+against a wrong outcome reported to an operator. Hypothesis draws sequences of the
 failures in ``configuration_machine.py``. Each mutant below removes one mechanism
 and must be caught, which shows that the mechanism is needed.
 """
--- a/tests/core/configuration/test_first_fetch.py
+++ b/tests/core/configuration/test_first_fetch.py
@@ -1,4 +1,4 @@
-"""Processes that start together do not all read the whole configuration.
+"""Of processes that start together, few fetch all sections from the platform.
 
 Guards against overload of the platform when 390 nodes start at once: each sees
 the head within a second while nobody holds its sections, and all fetch every
@@ -24,6 +24,7 @@
 HEAD = build_next_head(NO_HEAD, "e1", {"service/a": "some-hash"})
 HEAD_POLLED = PlatformPolled(HEAD.head_id, 1)
 EARLY_MS = 400
+"""A fetch up to this time starts before a peer could announce the head."""
 MAX_DELAY_MS = 7_000
 
 
@@ -45,26 +46,31 @@
     return None
 
 
-def check_few_fetch_early(n, policy=None):
-    fetch_times = [find_fetch_time(n - 1, number / n, policy) for number in range(n)]
+def check_few_fetch_early(n_processes, policy=None):
+    fetch_times = [
+        find_fetch_time(n_processes - 1, number / n_processes, policy)
+        for number in range(n_processes)
+    ]
     assert None not in fetch_times, "a process never fetched"
-    early = sum(fetch_time <= EARLY_MS for fetch_time in fetch_times)
-    assert early <= 3, f"{early} of {n} fetched before a peer could announce the head"
-    assert fetch_times[0] == 0, "no process fetched at once"
+    n_early = sum(fetch_time <= EARLY_MS for fetch_time in fetch_times)
+    assert n_early <= 3, (
+        f"{n_early} of {n_processes} fetched before a peer could announce the head"
+    )
+    assert fetch_times[0] == 0, "no process fetched immediately"
 
 
-@pytest.mark.parametrize("n", [7, 39, 390])
-def test_few_of_many_processes_fetch_before_first_announcement(n):
-    check_few_fetch_early(n)
+@pytest.mark.parametrize("n_processes", [7, 39, 390])
+def test_few_of_many_processes_fetch_before_first_announcement(n_processes):
+    check_few_fetch_early(n_processes)
 
 
-def test_without_delay_all_processes_fetch_at_once():
+def test_without_delay_all_processes_fetch_early():
     with pytest.raises(AssertionError, match="390 of 390"):
         check_few_fetch_early(390, FollowerPolicy(first_fetch_scale_ms=0))
 
 
 @pytest.mark.parametrize("n_peers", [0, 5])
-def test_single_process_and_small_site_fetch_at_once(n_peers):
+def test_single_process_and_small_site_fetch_immediately(n_peers):
     assert find_fetch_time(n_peers, 0.99) == 0
 
 
--- a/tests/core/configuration/test_follower.py
+++ b/tests/core/configuration/test_follower.py
@@ -120,7 +120,7 @@
     they are valid whenever they arrive.
     """
     follower = create_follower(NON_POLLERS[0], DATA_CENTRE)
-    hashed = content_hash(CONTENT)
+    section_hash = content_hash(CONTENT)
     follower.handle(PlatformPolled(FIRST_HEAD.head_id, 1), 0)
     follower.handle(HeadFetched(FIRST_HEAD, Platform()), 10)
     follower.handle(AnnouncementReceived(FIRST_HEAD.head_id, Peer("c8"), None), 20)
@@ -132,7 +132,7 @@
     assert fetch.source == Peer("c8")
     follower.handle(FetchFailed(Peer("c8")), 700)
     follower.handle(AnnouncementReceived(FIRST_HEAD.head_id, Peer("c7"), None), 800)
-    follower.handle(SectionsFetched({hashed: CONTENT}, Platform()), 900)
+    follower.handle(SectionsFetched({section_hash: CONTENT}, Platform()), 900)
     actions = follower.handle(HeadFetched(FIRST_HEAD, Peer("c7")), 1_000)
     assert isinstance(actions[0], Apply)
 
