--- a/tests/core/attempts/at_most_once_machine.py
+++ b/tests/core/attempts/at_most_once_machine.py
@@ -3,7 +3,7 @@
 The decisions come from the code under test: :class:`RequestState`, :class:`Ledger`
 and :func:`decide_claim`. The network between them is simulated. Hypothesis chooses
 which messages are delayed, duplicated and reordered. A message that is delayed until
-the end of a run is event.
+the end of a run is lost.
 """
 
 from dataclasses import dataclass, field
